--- a/src/scalebend/core/gateway/attempts.py
+++ b/src/scalebend/core/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""What follows an attempt at an upstream: the answer, another attempt, or the end."""
+"""Decides after a failed attempt at an upstream: retry, or fail the call."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from scalebend.models.calls import Call, Outcome
 from scalebend.models.ids import UpstreamId
 
-MOST_REJECTIONS = 3
-"""Upstreams that may declare in turn that they did not run a request; more would
-only delay the caller's own retry."""
+MAX_REJECTIONS = 3
+"""Upstreams that may reject a request without running it; trying more would only delay
+the caller's own retry."""
 
-MOST_UNSENT = 6
-"""Times that a request is placed anew because a replica could not be reached, whether
-from here or from the replica that it was sent to."""
+MAX_UNSENT = 6
+"""Placements of a request that may fail because a replica could not be reached, from
+here or from the lead replica."""
 
-LEAST_REMAINING = 0.05
-"""Seconds before the deadline below which no new attempt is worth its load."""
+MIN_REMAINING_S = 0.05
+"""Least time before the deadline for a new attempt: less would only add load."""
 
 
 class TryAgain(msgspec.Struct, frozen=True):
@@ -26,23 +26,23 @@
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """Decision: answer the caller with a failure now."""
+    """Decision: fail the call now."""
 
     kind: ErrorKind
     ran: Ran
-    passes_answer: bool = False
-    """Whether the upstream's own failure is passed on instead."""
+    passes_response: bool = False
+    """Whether the upstream's own error response is passed on to the caller."""
 
 
 class Attempts:
-    """The attempts of one call."""
+    """Attempts of one call."""
 
     def __init__(self, call: Call) -> None:
         self._call = call
         self._unsent = 0
         self._rejections = 0
         self.runs = 0
-        """Attempts that ran, or may have run."""
+        """Number of attempts that ran, or may have run."""
 
         self.excluded: set[UpstreamId] = set()
 
@@ -60,24 +60,24 @@
         *,
         is_helper: bool = False,
     ) -> TryAgain | GiveUp:
-        """Judge the attempt that just ended without an answer to pass on.
+        """Decide what follows an attempt that ended without a successful response.
 
-        ``upstream`` is the one at fault; ``is_helper`` if another one answered for it,
-        which may well take the request without it.
+        ``upstream`` is the one at fault. ``is_helper`` if it is a prefill helper that
+        the lead replica reported, which may still take the request without it.
         """
         self.excluded.add(upstream)
         match outcome:
             case Outcome.NOT_SENT | Outcome.LEFT:
                 self._unsent += 1
-                is_allowed = self._unsent < MOST_UNSENT
+                is_allowed = self._unsent < MAX_UNSENT
                 return self._retry_or_refuse(is_allowed, retries, now, is_sent=False)
             case Outcome.REJECTED if is_helper:
                 self._unsent += 1
-                is_allowed = self._unsent < MOST_UNSENT
+                is_allowed = self._unsent < MAX_UNSENT
                 return self._retry_or_refuse(is_allowed, retries, now)
             case Outcome.REJECTED:
                 self._rejections += 1
-                is_allowed = self._rejections < MOST_REJECTIONS
+                is_allowed = self._rejections < MAX_REJECTIONS
                 return self._retry_or_refuse(is_allowed, retries, now)
             case Outcome.TIMED_OUT:
                 self.runs += 1
@@ -88,11 +88,11 @@
         if is_allowed and self._has_time(now):
             if retries.spend(self._call.service, now):
                 return TryAgain()
-        is_answer = outcome is Outcome.FAILED
-        return GiveUp(ErrorKind.UPSTREAM_FAILED, Ran.UNKNOWN, is_answer)
+        passes_response = outcome is Outcome.FAILED
+        return GiveUp(ErrorKind.UPSTREAM_FAILED, Ran.UNKNOWN, passes_response)
 
     def refuse(self, kind: ErrorKind) -> GiveUp:
-        """No upstream may be chosen: end, saying whether any may have run it."""
+        """Fail the call, saying whether an upstream may have run it."""
         if self.may_have_run:
             return GiveUp(ErrorKind.UPSTREAM_FAILED, Ran.UNKNOWN)
         return GiveUp(kind, Ran.NO)
@@ -106,10 +106,10 @@
         is_sent: bool = True,
     ) -> TryAgain | GiveUp:
         if is_allowed and self._has_time(now):
-            # What never left this process is no arrival at the service.
+            # A request that was never sent is no retry that the service sees.
             if not is_sent or retries.spend(self._call.service, now):
                 return TryAgain()
         return self.refuse(ErrorKind.OVERLOADED)
 
     def _has_time(self, now: float) -> bool:
-        return self._call.deadline - now > LEAST_REMAINING
+        return self._call.deadline - now > MIN_REMAINING_S
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -25,7 +25,7 @@
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.freshness import FreshnessQuestion, FreshnessQuestions
 from scalebend.core.gateway.leader_placement import LeaderPlacement
-from scalebend.core.gateway.limit_exchange import GRANT_LIFE, LimitExchange
+from scalebend.core.gateway.limit_exchange import GRANT_LEASE_S, LimitExchange
 from scalebend.core.gateway.messages import (
     ControlNews,
     CrashNews,
@@ -224,10 +224,10 @@
         """Whether nobody else grants what upstreams with limits may be sent."""
         if not self.is_leader or self.placement.is_learning(now):
             return False
-        if not self.limits.is_any:
+        if not self.limits.has_limits:
             return True
         confirmed_at = self.member.replica.compute_confirmed_at(now)
-        return confirmed_at is not None and now - confirmed_at <= GRANT_LIFE
+        return confirmed_at is not None and now - confirmed_at <= GRANT_LEASE_S
 
     # Fronts
 
@@ -242,7 +242,7 @@
         actions: list[ControlAction] = [ToFront(front, self._build_news(now))]
         actions += self._send_catalogues(now)
         if self.is_leader:
-            actions += self.limits.greet(front)
+            actions += self.limits.send_all(front)
         return actions + [*self._ejections.greet(front)]
 
     def add_relay(self, relay: InstanceId, now: float) -> list[ControlAction]:
@@ -295,7 +295,7 @@
                 self.crashes.take(message, now)
                 return self._send_crashes(now)
             case LimitsHeard(heard):
-                self.limits.hear(front, heard, now)
+                self.limits.receive(front, heard, now)
             case LimitNews(limits):
                 self.limits.merge(front, limits, now)
             case RejectionSeen(upstream):
@@ -308,7 +308,7 @@
                     self.limits.budget.spend(upstream, now)
             case SendQuestion():
                 may_grant = self._may_grant(now)
-                answer = self.limits.answer(message, now, may_grant=may_grant)
+                answer = self.limits.grant(message, now, may_grant=may_grant)
                 return [ToFront(front, answer)]
             case OpenJobs(jobs):
                 self.placement.note_heard(front)
--- a/src/scalebend/core/gateway/ejection_push.py
+++ b/src/scalebend/core/gateway/ejection_push.py
@@ -35,7 +35,7 @@
             endpoint = directory.get(one.upstream)
             if endpoint is not None:
                 usable = len(directory.list_usable(endpoint.service))
-                self._detector.note(one, endpoint.service, usable, now)
+                self._detector.record(one, endpoint.service, usable, now)
 
     def expire(self, now: float) -> None:
         """Forget upstreams that failed nothing for long."""
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -198,7 +198,7 @@
         """Take a message of a control instance."""
         if sender == self.leader:
             self._heard_at = now
-            self.limits.note_leader_heard(now)
+            self.limits.record_leader_contact(now)
         match message:
             case ControlNews():
                 return self._take_control_news(sender, message, now)
@@ -219,9 +219,9 @@
             case EndpointChanges(news):
                 return self._take_endpoints(news, now)
             case LimitNews():
-                self.limits.take(message, now)
+                self.limits.apply_updates(message, now)
             case FrontPlace() if sender == self.leader:
-                self.limits.note_place(message)
+                self.limits.record_position(message)
             case CrashNews(records, cleared):
                 self.crashes.merge(records, now)
                 self.crashes.clear(cleared)
@@ -275,8 +275,8 @@
     def _take_control_news(
         self, sender: InstanceId, news: ControlNews, now: float
     ) -> list[ToControl]:
-        self.retries.set_fronts(news.fronts, now)
-        self.limits.note_fronts(news.fronts)
+        self.retries.update_front_count(news.fronts, now)
+        self.limits.record_front_count(news.fronts)
         if news.leader is None or news.term < self._term:
             # It may be cut off; but what it names may be all that is left.
             self._told |= set(news.instances)
@@ -296,10 +296,10 @@
         logger.info("leader found", leader=news.leader, term=news.term, source=sender)
         self.leader = news.leader
         # The next one finds out anew, and says so.
-        self.balancer.note_ejected(())
+        self.balancer.set_ejected(())
         self._heard_at = now
         self._lease_at = now + LEASE_PERIOD
-        limits = self.limits.build_news()
+        limits = self.limits.build_updates()
         return [
             *(self._tell_leader(limits) if limits is not None else []),
             *self._tell_draining(list(self._draining)),
@@ -364,7 +364,7 @@
 
         They asked this front alone, so that whoever places for it cannot know.
         """
-        closed = self.backoffs.list_closed(now)
+        closed = self.backoffs.list_in_backoff(now)
         if not closed:
             return work
         excluded = tuple({*work.excluded, *closed})
@@ -386,11 +386,11 @@
 
         0 if there is one, or if all are ``excluded``: time does not help then.
         """
-        if not self.backoffs.is_any:
+        if not self.backoffs.has_any:
             return 0.0
         usable = self.directory.list_usable(service)
         left = [one.upstream for one in usable if one.upstream not in excluded]
-        return self.backoffs.find_soonest(left, now)
+        return self.backoffs.compute_shortest_wait(left, now)
 
     def replace_job(
         self, job: JobId, placement: Placement, now: float
@@ -429,7 +429,7 @@
 
     def hear_limit(self, heard: HeardLimit, now: float) -> list[ToControl]:
         """An upstream's answer named the requests a second that it takes, or none."""
-        told = self.limits.hear(heard, now, is_led=self.leader is not None)
+        told = self.limits.receive(heard, now, has_leader=self.leader is not None)
         return self._tell_leader(told) if told is not None else []
 
     def note_sent_alone(self, upstream: UpstreamId) -> list[ToControl]:
@@ -486,7 +486,7 @@
         ]
         actions = []
         for upstream in ended:
-            for fingerprint in self._unanswered.take(upstream):
+            for fingerprint in self._unanswered.pop(upstream):
                 actions += self.note_lost(fingerprint, upstream, now)
         return actions
 
@@ -495,7 +495,7 @@
 
     def _take_ejected(self, upstreams: list[UpstreamId], now: float) -> None:
         logger.info("upstreams ejected", upstreams=upstreams, source=self.leader)
-        self.balancer.note_ejected(upstreams)
+        self.balancer.set_ejected(upstreams)
         for upstream in upstreams:
             # For the time in which this front may have to place alone.
             self.scheduler.note_failure(upstream, now)
--- a/src/scalebend/core/gateway/front_jobs.py
+++ b/src/scalebend/core/gateway/front_jobs.py
@@ -1,4 +1,4 @@
-"""Engine jobs that one front has open, and where they run as it knows."""
+"""Open engine jobs of one front, with their placements."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class FrontJobs:
-    """Open jobs of one front; its own scheduler learns of those placed elsewhere.
+    """Open jobs of one front, also counted in its own scheduler.
 
-    Whoever leads next is told all of them, and the scheduler places alone if nobody
-    does. A job without a ``profile`` is of a service that has no engines any more.
+    A new leader receives all of them, and the own scheduler places work while there is
+    no leader. ``profile`` is ``None`` for a service that no longer has engines.
     """
 
     def __init__(self, scheduler: EngineScheduler) -> None:
@@ -28,14 +28,14 @@
         self._placed_at: dict[JobId, float] = {}
 
     def open(self, work: EngineWork, placement: Placement, now: float) -> OpenJob:
-        """Keep a job that was placed now."""
+        """Store a job that was placed now."""
         opened = OpenJob(work, placement, is_writing=False)
         self._jobs[work.job] = opened
         self._placed_at[work.job] = now
         return opened
 
     def adopt(self, opened: OpenJob, profile: EngineProfile | None, now: float) -> None:
-        """The own scheduler counts a job that it did not place."""
+        """Count a job in the own scheduler that was placed elsewhere."""
         if profile is not None:
             self._scheduler.adopt(opened, profile, now)
 
@@ -46,7 +46,7 @@
         profile: EngineProfile | None,
         now: float,
     ) -> None:
-        """A job that waits for its turn was given another placement."""
+        """Store another placement of a job that has not been sent yet."""
         self._scheduler.forget(work.job)
         self.adopt(self.open(work, placement, now), profile, now)
 
@@ -57,16 +57,16 @@
         profile: EngineProfile | None,
         now: float,
     ) -> OpenJob:
-        """A job runs on other replicas than planned, at the time it was given."""
+        """Store that a job runs on other replicas; its age and stage are kept."""
         opened = msgspec.structs.replace(self._jobs[job], placement=placement)
         self._jobs[job] = opened
-        aged = msgspec.structs.replace(opened, age=now - self._placed_at[job])
+        updated = msgspec.structs.replace(opened, age=now - self._placed_at[job])
         self._scheduler.note_stage(JobStage(job, is_ended=True), now)
-        self.adopt(aged, profile, now)
-        return aged
+        self.adopt(updated, profile, now)
+        return updated
 
     def note_stage(self, stage: JobStage, now: float) -> None:
-        """A job's first token was seen, or it ended."""
+        """Record that a job's first token was seen, or that it ended."""
         self._scheduler.note_stage(stage, now)
         opened = self._jobs.get(stage.job)
         if stage.is_ended:
@@ -76,11 +76,11 @@
             self._jobs[stage.job] = msgspec.structs.replace(opened, is_writing=True)
 
     def find_work(self, job: JobId) -> EngineWork:
-        """What an open job is to do."""
+        """Return the work of an open job."""
         return self._jobs[job].work
 
     def list_open(self, now: float) -> list[OpenJob]:
-        """All of them, with their ages."""
+        """All open jobs, with their ages in seconds."""
         return [
             msgspec.structs.replace(opened, age=now - self._placed_at[job])
             for job, opened in self._jobs.items()
--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -1,4 +1,4 @@
-"""Limits on requests a second at a front: heard, told to the leader, and kept alone."""
+"""Rate limits at a front: read in responses, reported, and kept without a leader."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     SendQuestion,
 )
 from scalebend.core.request_limits import RequestLimits
-from scalebend.core.send_budget import OwnTurn, SendBudget
+from scalebend.core.send_budget import SendBudget, UncoordinatedShare
 from scalebend.models.ids import InstanceId, UpstreamId
 from scalebend.models.request_limits import (
     HeardLimit,
@@ -28,16 +28,16 @@
 
 
 class FrontLimits:
-    """What one front knows of limits, and may send without the leader's word."""
+    """Rate limits known to one front, and what it may send without the leader."""
 
     def __init__(self, front: InstanceId, now: float) -> None:
         self._limits = RequestLimits()
         self._fronts = 1
         self._number: int | None = None
-        # Until the leader gives out numbers: they differ, but for some by chance.
-        self._drawn = zlib.crc32(front.encode())
-        self._heard_at = now
-        self.budget = SendBudget(self._limits, OwnTurn(1, 0, now))
+        # Used until the leader assigns numbers; two fronts may get the same one.
+        self._name_hash = zlib.crc32(front.encode())
+        self._leader_seen_at = now
+        self.budget = SendBudget(self._limits, UncoordinatedShare(1, 0, now))
         self.placement = LimitedPlacement(self.budget)
 
     def get(self, upstream: UpstreamId) -> RequestLimit:
@@ -45,66 +45,66 @@
         return self._limits.get(upstream)
 
     def is_limited(self, upstream: UpstreamId) -> bool:
-        """Whether an upstream takes only so many requests a second."""
+        """Whether a limit is in force at an upstream."""
         return self._limits.is_limited(upstream)
 
     def count_limited(self) -> int:
-        """Upstreams with a limit in force."""
+        """Number of upstreams with a limit in force."""
         return self._limits.count_limited()
 
-    def hear(
-        self, heard: HeardLimit, now: float, *, is_led: bool
+    def receive(
+        self, reported: HeardLimit, now: float, *, has_leader: bool
     ) -> LimitsHeard | None:
-        """Take what an answer said; return what the leader is to be told.
+        """Apply the limit named in a response; return the report for the leader.
 
-        The leader decides when a limit is raised or ends, and all are told; a front
-        without one decides for itself.
+        The leader decides when a limit is raised or ends, and publishes it; a front
+        without a leader decides for itself.
         """
-        known = self._limits.get(heard.upstream)
-        if heard.rate == known.rate:
+        known = self._limits.get(reported.upstream)
+        if reported.rate == known.rate:
             return None
-        if heard.rate < known.rate or not is_led:
-            changed = self._limits.hear(heard)
-            self._note_changes([changed] if changed is not None else [], now)
-        return LimitsHeard([heard]) if is_led else None
-
-    def take(self, news: LimitNews, now: float) -> None:
-        """A control instance told what it knows."""
-        self._note_changes(self._limits.merge(news.limits), now)
-
-    def note_place(self, place: FrontPlace) -> None:
-        """The leader told which of how many fronts this one is."""
-        self._fronts = place.fronts
-        self._number = place.number
-
-    def note_fronts(self, fronts: int) -> None:
-        """A control instance told how many fronts it sees."""
+        if reported.rate < known.rate or not has_leader:
+            changed = self._limits.apply(reported)
+            self._apply_changes([changed] if changed is not None else [], now)
+        return LimitsHeard([reported]) if has_leader else None
+
+    def apply_updates(self, updates: LimitNews, now: float) -> None:
+        """Merge limits that a control instance published."""
+        self._apply_changes(self._limits.merge(updates.limits), now)
+
+    def record_position(self, position: FrontPlace) -> None:
+        """Store the number that the leader assigned to this front."""
+        self._fronts = position.fronts
+        self._number = position.number
+
+    def record_front_count(self, fronts: int) -> None:
+        """Store how many fronts a control instance sees, until a number is assigned."""
         if self._number is None:
             self._fronts = max(self._fronts, fronts)
 
-    def note_leader_heard(self, now: float) -> None:
-        """The leader is there, and grants: this front's own turns begin after it."""
-        self._heard_at = now
+    def record_leader_contact(self, now: float) -> None:
+        """Store that the leader was heard: uncoordinated sends begin only after it."""
+        self._leader_seen_at = now
         if self._limits.count_limited():
-            self._count_turns(now)
+            self._update_share(now)
 
-    def grant(self, question: SendQuestion, now: float) -> SendAnswer:
-        """Take one of this front's own turns, if its time has come."""
-        upstream, wait = self.budget.grant(question.upstreams, question.patience, now)
-        return SendAnswer(question.question, upstream, wait)
+    def grant(self, request: SendQuestion, now: float) -> SendAnswer:
+        """Grant an uncoordinated send, if one is due within the requested wait."""
+        upstream, wait = self.budget.grant(request.upstreams, request.patience, now)
+        return SendAnswer(request.question, upstream, wait)
 
-    def build_news(self) -> LimitNews | None:
-        """What a new leader is to be told."""
+    def build_updates(self) -> LimitNews | None:
+        """All known limits, for a new leader; ``None`` without any."""
         limits = self._limits.list_all()
         return LimitNews(limits) if limits else None
 
     def expire(self, upstreams: Iterable[UpstreamId], now: float) -> None:
-        """Forget upstreams that are gone for long, and prompts that were sent."""
+        """Forget upstreams that have long been absent, and prompts that were sent."""
         self._limits.retain(upstreams, now)
         self.budget.refresh(now)
         self.placement.expire(now)
 
-    def _note_changes(self, changed: list[RequestLimit], now: float) -> None:
+    def _apply_changes(self, changed: list[RequestLimit], now: float) -> None:
         for limit in changed:
             logger.info(
                 "request limit known",
@@ -113,12 +113,12 @@
                 revision=limit.revision,
             )
         if changed:
-            self._count_turns(now)
+            self._update_share(now)
             self.budget.refresh(now)
 
-    def _count_turns(self, now: float) -> None:
+    def _update_share(self, now: float) -> None:
         number = self._number
         if number is None:
-            number = self._drawn % self._fronts
-        turn = OwnTurn(self._fronts, number, self._heard_at)
-        self.budget.set_share(turn, now)
+            number = self._name_hash % self._fronts
+        share = UncoordinatedShare(self._fronts, number, self._leader_seen_at)
+        self.budget.set_share(share, now)
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -1,8 +1,8 @@
-"""Limits on requests a second at a control instance: known, told, granted as leader.
+"""Rate limits at a control instance: collected, published and, as leader, granted.
 
-Every front tells the leader what upstreams say, and the leader tells all fronts, so
-that they do not have to meet a limit to keep it. The leader alone grants sends; see
-:mod:`scalebend.core.send_budget` for what fronts do that it does not hear.
+Every front reports the limits that upstreams name, and the leader publishes them to all
+fronts, so that a front knows a limit before it runs into it. Only the leader grants
+sends; see :mod:`scalebend.core.send_budget` for what fronts send without it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     SendQuestion,
 )
 from scalebend.core.request_limits import RequestLimits
-from scalebend.core.send_budget import GrantedPart, SendBudget
+from scalebend.core.send_budget import LeaderShare, SendBudget
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import InstanceId, UpstreamId
 from scalebend.models.placement import Declined, EngineWork, Placement
@@ -35,97 +35,102 @@
 
 logger = structlog.get_logger(__name__)
 
-SPREAD_PERIOD = 0.05
-"""Seconds from one message to all fronts to the next: when a whole service falls into
-need, hundreds of answers say so within a moment."""
+UPDATE_PERIOD_S = 0.05
+"""Least time between two updates to all fronts: when a whole service becomes
+overloaded, hundreds of responses say so at almost the same time."""
 
-MISSING_MEMORY = 60.0
-"""Seconds for which a front that was lost keeps its part. One that is cut off may go on
-serving callers that long; one that stopped costs the others its part until then, an
-eighth with eight fronts."""
+LOST_FRONT_RETENTION_S = 60.0
+"""Time for which a lost front keeps its share of the limits: one that is only cut off
+may go on serving callers."""
 
-GRANT_LIFE = 0.4
-"""Seconds since a quorum confirmed that this instance leads for which it grants: less
-than another one needs to be elected."""
+GRANT_LEASE_S = 0.4
+"""Time after a quorum last confirmed this leader during which it may grant: less than
+the election of another leader takes."""
 
 
 class LimitExchange:
-    """What one control instance knows of limits, and grants while it leads."""
+    """Rate limits known to one control instance, and its grants while it leads."""
 
     def __init__(self) -> None:
         self.limits = RequestLimits()
-        self.budget = SendBudget(self.limits, GrantedPart(1.0))
+        self.budget = SendBudget(self.limits, LeaderShare(1.0))
         self.placement = LimitedPlacement(self.budget)
         self._linked: dict[InstanceId, None] = {}
-        self._missing: dict[InstanceId, float] = {}
-        self._news: dict[UpstreamId, RequestLimit] = {}
-        self._is_resized = False
-        """Whether fronts have another place among each other than they were told."""
+        self._lost: dict[InstanceId, float] = {}
+        self._changed: dict[UpstreamId, RequestLimit] = {}
+        self._has_new_positions = False
+        """Whether the positions of fronts differ from those last sent to them."""
 
         self._send_at = -math.inf
 
     @property
-    def is_any(self) -> bool:
+    def has_limits(self) -> bool:
         """Whether any upstream has a limit."""
         return self.limits.count_limited() > 0
 
     # Fronts
 
     def add_front(self, front: InstanceId, now: float) -> None:
-        """A front was linked."""
+        """Count a front that was linked."""
         self._linked[front] = None
-        self._missing.pop(front, None)
-        self._share_out(now)
+        self._lost.pop(front, None)
+        self._update_share(now)
 
     def remove_front(self, front: InstanceId, now: float) -> None:
-        """The link to a front was lost: it may still send on its own."""
+        """Reserve a share for a front whose link was lost: it may still send."""
         if front in self._linked:
             del self._linked[front]
-            self._missing[front] = now
-            self._share_out(now)
+            self._lost[front] = now
+            self._update_share(now)
 
     def start_term(self, now: float) -> None:
-        """This instance begins to lead: what the last leader granted is not known."""
+        """Begin to lead, without knowing what the previous leader granted."""
         self.budget.restart(now)
 
     def expire(self, now: float) -> None:
-        """Give the parts of fronts that are gone for long to the others."""
-        gone = [f for f, at in self._missing.items() if now - at >= MISSING_MEMORY]
-        for front in gone:
-            del self._missing[front]
-        if gone:
-            self._share_out(now)
+        """Release the shares of fronts that have been lost for long."""
+        expired = [
+            f for f, at in self._lost.items() if now - at >= LOST_FRONT_RETENTION_S
+        ]
+        for front in expired:
+            del self._lost[front]
+        if expired:
+            self._update_share(now)
         self.placement.expire(now)
 
     def retain(self, upstreams: Iterable[UpstreamId], now: float) -> None:
-        """Forget upstreams that are gone for long."""
+        """Forget upstreams that have long been absent from ``upstreams``."""
         self.limits.retain(upstreams, now)
         self.budget.refresh(now)
 
-    def _share_out(self, now: float) -> None:
+    def _update_share(self, now: float) -> None:
         linked = len(self._linked)
         if linked:
-            part = linked / (linked + len(self._missing))
-            self.budget.set_share(GrantedPart(part), now)
-        self._is_resized = True
+            share = linked / (linked + len(self._lost))
+            self.budget.set_share(LeaderShare(share), now)
+        self._has_new_positions = True
 
-    # News
+    # Updates
 
-    def hear(self, front: InstanceId, heard: Iterable[HeardLimit], now: float) -> None:
-        """A front passed on what answers said."""
-        for one in heard:
-            changed = self.limits.hear(one)
+    def receive(
+        self, front: InstanceId, reported: Iterable[HeardLimit], now: float
+    ) -> None:
+        """Apply limits that a front read in responses."""
+        for one in reported:
+            changed = self.limits.apply(one)
             if changed is not None:
-                self._note_change(changed, front, now)
+                self._record_change(changed, front, now)
 
     def merge(
         self, front: InstanceId, limits: Iterable[RequestLimit], now: float
     ) -> None:
-        """A front told all that it knows."""
+        """Merge all limits that a front knows."""
         for changed in self.limits.merge(limits):
-            self._note_change(changed, front, now)
+            self._record_change(changed, front, now)
 
-    def _note_change(self, limit: RequestLimit, source: InstanceId, now: float) -> None:
+    def _record_change(
+        self, limit: RequestLimit, source: InstanceId, now: float
+    ) -> None:
         logger.info(
             "request limit changed",
             upstream=limit.upstream,
@@ -133,36 +138,36 @@
             revision=limit.revision,
             source=source,
             fronts=len(self._linked),
-            missing=len(self._missing),
+            missing=len(self._lost),
         )
         self.budget.refresh(now)
-        self._news[limit.upstream] = limit
+        self._changed[limit.upstream] = limit
 
     def send_due(self, now: float, *, is_leader: bool) -> list[ToFront]:
-        """As leader, tell all fronts what is new, and their places if there is need."""
+        """As leader, publish changed limits, and new positions if any limit exists."""
         if not is_leader:
-            self._news.clear()
+            self._changed.clear()
             return []
-        is_due = self._news or (self._is_resized and self.is_any)
+        is_due = self._changed or (self._has_new_positions and self.has_limits)
         if not is_due or now < self._send_at:
             return []
-        self._send_at = now + SPREAD_PERIOD
-        actions = self._tell_places() if self._is_resized else []
-        if self._news:
-            # One message for all, which is encoded once.
-            news = LimitNews(list(self._news.values()))
-            self._news.clear()
-            actions += [ToFront(front, news) for front in self._linked]
+        self._send_at = now + UPDATE_PERIOD_S
+        actions = self._send_positions() if self._has_new_positions else []
+        if self._changed:
+            # One message object for all fronts, so that it is encoded once.
+            update = LimitNews(list(self._changed.values()))
+            self._changed.clear()
+            actions += [ToFront(front, update) for front in self._linked]
         return actions
 
-    def greet(self, front: InstanceId) -> list[ToFront]:
-        """Tell a front that was just linked all limits, before it sends anything."""
+    def send_all(self, front: InstanceId) -> list[ToFront]:
+        """Send all limits to a newly linked front, before it sends any request."""
         limits = self.limits.list_all()
         return [ToFront(front, LimitNews(limits))] if limits else []
 
-    def _tell_places(self) -> list[ToFront]:
-        self._is_resized = False
-        fronts = len(self._linked) + len(self._missing)
+    def _send_positions(self) -> list[ToFront]:
+        self._has_new_positions = False
+        fronts = len(self._linked) + len(self._lost)
         return [
             ToFront(front, FrontPlace(fronts, number))
             for number, front in enumerate(self._linked)
@@ -180,19 +185,19 @@
         *,
         may_grant: bool,
     ) -> Placement | Declined:
-        """Place work where limits leave room; at none if this one may not grant."""
-        if self.is_any and not may_grant:
+        """Place work within the limits, or on unlimited replicas without a lease."""
+        if self.has_limits and not may_grant:
             limited = self.budget.list_limited()
             return scheduler.place(work, endpoints, profile, now, limited)
         return self.placement.place(scheduler, work, endpoints, profile, now)
 
-    def answer(
-        self, question: SendQuestion, now: float, *, may_grant: bool
+    def grant(
+        self, request: SendQuestion, now: float, *, may_grant: bool
     ) -> SendAnswer:
-        """Grant a send to one of the upstreams, now or within the asker's patience."""
+        """Grant a send to one of the upstreams within the requested wait."""
         if not may_grant:
-            _, wait = self.budget.find_soonest(question.upstreams, now)
-            # By then it is known who leads.
-            return SendAnswer(question.question, None, max(wait, GRANT_LIFE))
-        upstream, wait = self.budget.grant(question.upstreams, question.patience, now)
-        return SendAnswer(question.question, upstream, wait)
+            _, wait = self.budget.find_soonest(request.upstreams, now)
+            # After the lease time it is known which instance leads.
+            return SendAnswer(request.question, None, max(wait, GRANT_LEASE_S))
+        upstream, wait = self.budget.grant(request.upstreams, request.patience, now)
+        return SendAnswer(request.question, upstream, wait)
--- a/src/scalebend/core/gateway/limited_placement.py
+++ b/src/scalebend/core/gateway/limited_placement.py
@@ -1,8 +1,8 @@
-"""Places engine work so that replicas that named a limit get no more than they take.
+"""Places engine work within the rate limits of replicas.
 
-A replica without room is left out like one that must not be used. Long prompts, whose
-turn may come much later and which several replicas read, leave all limited ones alone
-while others can read them.
+A replica without a free send permit is excluded. Long prompts, which may start much
+later and are read by several replicas, avoid all rate-limited replicas as long as
+others can read them.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 from scalebend.core.gateway.engine_costs import QUICK_READ, compute_read_time
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
-from scalebend.core.gateway.patience import PATIENT_PART
 from scalebend.core.gateway.placement_turn import REPLAN_PERIOD
+from scalebend.core.gateway.timeouts import ROOM_WAIT_SHARE
 from scalebend.core.send_budget import SendBudget
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 from scalebend.models.routing import EngineProfile
 
-LONGEST_WAIT = REPLAN_PERIOD
-"""Seconds for which a prompt waits for room: after this it would ask again, and lose
-its place to those that came later."""
+MAX_WAIT_S = REPLAN_PERIOD
+"""Longest wait of a prompt for a send permit: after the replan period it would be
+placed anew and lose its position to later ones."""
 
 
 class LimitedPlacement:
-    """Choices of one scheduler within one budget."""
+    """Places the work of one scheduler within one send budget."""
 
     def __init__(self, budget: SendBudget) -> None:
         self._budget = budget
-        self._waiting: dict[JobId, tuple[UpstreamId, float]] = {}
-        """Where prompts that wait for their turn are to be sent, and when."""
+        self._pending: dict[JobId, tuple[UpstreamId, float]] = {}
+        """Upstream and send time of prompts that were placed but not yet sent."""
 
     def place(
         self,
@@ -42,17 +42,17 @@
         profile: EngineProfile,
         now: float,
     ) -> Placement | Declined:
-        """Choose replicas within their limits, and count the request at the first."""
+        """Choose replicas within their limits; count the send at the lead replica."""
         limited = self._budget.list_limited()
         if not limited:
             return scheduler.place(work, endpoints, profile, now)
-        self._forget(work.job, now)
-        closed = self._budget.list_closed(now)
+        self._release(work.job, now)
+        exhausted = self._budget.list_exhausted(now)
         is_quick = compute_read_time(profile, work.prompt_tokens) <= QUICK_READ
-        spared = closed if is_quick else limited
-        placed = scheduler.place(work, endpoints, profile, now, spared)
+        avoided = exhausted if is_quick else limited
+        placed = scheduler.place(work, endpoints, profile, now, avoided)
         if isinstance(placed, Declined) and not is_quick:
-            placed = scheduler.place(work, endpoints, profile, now, closed)
+            placed = scheduler.place(work, endpoints, profile, now, exhausted)
         if isinstance(placed, Declined):
             placed = self._place_later(scheduler, work, endpoints, profile, now, placed)
         if isinstance(placed, Placement):
@@ -68,15 +68,15 @@
         now: float,
         declined: Declined,
     ) -> Placement | Declined:
-        """All that could take it have no room: wait for the first, or come back."""
+        """Wait for the first send permit if every usable replica lacks one."""
         usable = [e.upstream for e in endpoints if e.upstream not in work.excluded]
-        closed = set(self._budget.list_closed(now))
-        if not usable or not closed.issuperset(usable):
+        exhausted = set(self._budget.list_exhausted(now))
+        if not usable or not exhausted.issuperset(usable):
             return declined
         soonest, wait = self._budget.find_soonest(usable, now)
-        if wait > min(LONGEST_WAIT, PATIENT_PART * work.target):
+        if wait > min(MAX_WAIT_S, ROOM_WAIT_SHARE * work.target):
             return Declined(wait)
-        others = [one for one in closed if one != soonest]
+        others = [one for one in exhausted if one != soonest]
         placed = scheduler.place(work, endpoints, profile, now, others)
         if isinstance(placed, Declined):
             return Declined(max(wait, placed.retry_after))
@@ -90,15 +90,15 @@
         due = now + placement.start_in
         self._budget.spend(placement.upstream, due)
         if placement.start_in > 0.0:
-            self._waiting[job] = (placement.upstream, due)
+            self._pending[job] = (placement.upstream, due)
 
-    def _forget(self, job: JobId, now: float) -> None:
-        """A prompt that still waits is placed anew; others have been sent."""
-        upstream, due = self._waiting.pop(job, (None, now))
+    def _release(self, job: JobId, now: float) -> None:
+        """Refund the send of a prompt that is placed anew before it was sent."""
+        upstream, due = self._pending.pop(job, (None, now))
         if upstream is not None and due > now:
             self._budget.refund(upstream)
 
     def expire(self, now: float) -> None:
-        """Forget prompts whose turn has come."""
-        for job in [job for job, (_, due) in self._waiting.items() if due <= now]:
-            del self._waiting[job]
+        """Forget prompts whose send time has passed."""
+        for job in [job for job, (_, due) in self._pending.items() if due <= now]:
+            del self._pending[job]
--- a/src/scalebend/core/gateway/outlier_detector.py
+++ b/src/scalebend/core/gateway/outlier_detector.py
@@ -1,9 +1,9 @@
-"""Finds upstreams that answer with failures, from what all fronts saw of them.
+"""Outlier ejection of failing upstreams, from the outcomes that all fronts report.
 
-One of hundreds of fronts sees a plain service too seldom to learn that one of its
-replicas fails: each would lose some requests that must not be sent twice before it
-knew. Together they see enough within a second. What is found is ejected: it gets
-nothing while others can, for longer each time it fails again.
+With hundreds of fronts, a single one calls a plain service too seldom to notice that a
+replica fails: each front would lose some non-idempotent calls first. Together they see
+enough outcomes within a second. An ejected upstream gets no requests while others can
+take them, for longer each time it fails again.
 """
 
 from __future__ import annotations
@@ -15,33 +15,32 @@
 from scalebend.models.endpoints import UpstreamOutcomes
 from scalebend.models.ids import ServiceName, UpstreamId
 
-MEMORY = 3.0
-"""Seconds in which what was seen fades to a third: longer than a front takes to tell,
+DECAY_S = 3.0
+"""Time constant of the decaying counts: longer than the reporting delay of a front,
 shorter than most faults last."""
 
-LEAST_FAILURES = 2.5
-"""Failures, faded, without which no upstream is ejected: replicas fail some requests
-of their own at any time, and about one in a hundred pairs in a row."""
+MIN_FAILURES = 2.5
+"""Least decayed number of failures for an ejection: healthy replicas also fail a few
+requests, sometimes two in a row."""
 
-LEAST_RATE = 0.5
-"""Part of an upstream's answers that are failures when it is ejected; where a service
-fails more often than that everywhere, nothing better is left."""
+MIN_FAILURE_SHARE = 0.5
+"""Least share of an upstream's outcomes that are failures for an ejection."""
 
-FIRST_EJECTION = 2.0
-LONGEST_EJECTION = 8.0
-"""Seconds for which an upstream is ejected, doubling from the first to the longest.
-A try again costs up to three requests; one left out without need, its capacity."""
+FIRST_EJECTION_S = 2.0
+MAX_EJECTION_S = 8.0
+"""Length of an ejection, doubling from the first to the longest: each new trial of an
+upstream costs a few requests, each needless ejection its capacity."""
 
-FORGET_AFTER = 10.0
-"""Seconds without a failure after which an upstream starts over."""
+RESET_AFTER_S = 10.0
+"""Time without a failure after which the record of an upstream is deleted."""
 
-MOST_EJECTED = 1 / 3
-"""Part of a service's upstreams that may be ejected at once, one of two or more at
-least, so that the others are not overrun by what is left to them."""
+MAX_EJECTED_SHARE = 1 / 3
+"""Share of a service's upstreams that may be ejected at once, so that the remaining
+ones are not overloaded; at least one of two or more may be."""
 
 
 class Ejection(msgspec.Struct, frozen=True):
-    """An upstream that should get nothing while others can."""
+    """An upstream that gets no requests while others can take them."""
 
     upstream: UpstreamId
     until: float
@@ -49,59 +48,59 @@
 
 class _Record(msgspec.Struct):
     service: ServiceName
-    answered: float = 0.0
+    succeeded: float = 0.0
     failed: float = 0.0
     seen_at: float = 0.0
     failed_at: float = 0.0
     ejected_until: float = 0.0
     ejection: float = 0.0
-    """Seconds of the last ejection; 0 before the first."""
+    """Length of the last ejection in seconds; 0 before the first."""
 
-    def fade(self, now: float) -> None:
-        factor = math.exp(-max(0.0, now - self.seen_at) / MEMORY)
-        self.answered *= factor
+    def decay(self, now: float) -> None:
+        factor = math.exp(-max(0.0, now - self.seen_at) / DECAY_S)
+        self.succeeded *= factor
         self.failed *= factor
         self.seen_at = now
 
     def is_failing(self) -> bool:
-        seen = self.answered + self.failed
-        return self.failed >= LEAST_FAILURES and self.failed >= LEAST_RATE * seen
+        total = self.succeeded + self.failed
+        return self.failed >= MIN_FAILURES and self.failed >= MIN_FAILURE_SHARE * total
 
 
 class OutlierDetector:
-    """What all fronts saw of each upstream lately."""
+    """Recent outcomes at each upstream over all fronts."""
 
     def __init__(self) -> None:
         self._records: dict[UpstreamId, _Record] = {}
 
-    def note(
+    def record(
         self, outcomes: UpstreamOutcomes, service: ServiceName, usable: int, now: float
     ) -> None:
-        """A front saw answers of one of ``usable`` upstreams of a service."""
+        """Add outcomes that a front saw at one of ``usable`` upstreams of a service."""
         upstream = outcomes.upstream
         record = self._records.get(upstream)
         if record is None:
             if not outcomes.failed:
-                # Nothing is to be remembered of those that only answer.
+                # Upstreams without failures need no record.
                 return
             record = self._records[upstream] = _Record(service)
-        record.fade(now)
-        record.answered += outcomes.answered
+        record.decay(now)
+        record.succeeded += outcomes.answered
         record.failed += outcomes.failed
         if outcomes.failed:
             record.failed_at = now
         if now < record.ejected_until or not record.is_failing():
             return
-        most = max(min(1, usable - 1), int(MOST_EJECTED * usable))
-        if self._count_ejected(service, now) >= most:
+        limit = max(min(1, usable - 1), int(MAX_EJECTED_SHARE * usable))
+        if self._count_ejected(service, now) >= limit:
             return
-        record.ejection = min(LONGEST_EJECTION, 2.0 * record.ejection or FIRST_EJECTION)
+        record.ejection = min(MAX_EJECTION_S, 2.0 * record.ejection or FIRST_EJECTION_S)
         record.ejected_until = now + record.ejection
-        # The next try counts alone.
-        record.answered = record.failed = 0.0
+        # Only outcomes after the ejection decide on the next one.
+        record.succeeded = record.failed = 0.0
 
     def list_ejections(self, now: float) -> list[Ejection]:
-        """Upstreams that are ejected now."""
+        """Ejections in force."""
         return [
             Ejection(upstream, record.ejected_until)
             for upstream, record in self._records.items()
@@ -109,9 +108,9 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget upstreams that failed nothing for long."""
+        """Delete records of upstreams without recent failures."""
         for upstream, record in list(self._records.items()):
-            if now >= max(record.failed_at + FORGET_AFTER, record.ejected_until):
+            if now >= max(record.failed_at + RESET_AFTER_S, record.ejected_until):
                 del self._records[upstream]
 
     def _count_ejected(self, service: ServiceName, now: float) -> int:
--- a/src/scalebend/core/gateway/retry_window.py
+++ b/src/scalebend/core/gateway/retry_window.py
@@ -1,8 +1,8 @@
-"""Each front's part of the retry budget that all fronts share.
+"""One front's share of the retry budget that all fronts have together.
 
-A service tolerates, in any window, some retries for each first attempt and a fixed
-number besides. Every front keeps within the ratio for its own requests and within an
-even part of the fixed number, so no messages are needed and the sum holds.
+A service tolerates, in any window, a ratio of retries to requests plus a fixed
+allowance. Every front keeps the ratio for its own requests and uses an equal share of
+the allowance, so the sum over all fronts holds without any messages.
 """
 
 from __future__ import annotations
@@ -14,17 +14,16 @@
 
 from scalebend.models.ids import ServiceName
 
-SAFETY = 0.7
-"""Part of the budget that is used: fronts that restarted forgot what they spent,
-and a new front is counted by the others a little late."""
+USED_SHARE = 0.7
+"""Share of the budget that is used: a restarted front has forgotten what it spent, and
+a new front is counted late by the others."""
 
+FRONT_COUNT_LIFE_S = 30.0
+"""Time for which the largest reported number of fronts counts: a control instance that
+has just started learns of them one by one."""
 
-FRONTS_MEMORY = 30.0
-"""Seconds for which the largest number of fronts is believed: a control instance that
-has just started hears of them one after the other."""
-
-SETTLE_TIME = 2.0
-"""Seconds after the first word on the number of fronts until the fixed part is used."""
+SETTLE_TIME_S = 2.0
+"""Time from the first reported number of fronts until the fixed allowance is used."""
 
 
 class _Counts(msgspec.Struct):
@@ -33,35 +32,41 @@
 
 
 class RetryWindow:
-    """Counts of one front, by service, over a sliding window."""
+    """Requests and retries of one front, by service, in a sliding window.
+
+    ``ratio`` is in retries per request, ``allowance`` in retries of all fronts, and
+    ``window`` in seconds.
+    """
 
-    def __init__(self, ratio: float, slack: float, window: float) -> None:
+    def __init__(self, ratio: float, allowance: float, window: float) -> None:
         self._ratio = ratio
-        self._slack = slack
+        self._allowance = allowance
         self._window = window
         self._fronts = 0
         self._fronts_at = 0.0
-        self._slack_from = math.inf
+        self._allowance_from = math.inf
         self._counts: dict[ServiceName, _Counts] = {}
 
-    def set_fronts(self, count: int, now: float) -> None:
-        """Note how many fronts share the fixed part."""
-        if math.isinf(self._slack_from):
-            self._slack_from = now + SETTLE_TIME
-        is_old = now - self._fronts_at > FRONTS_MEMORY
-        if count >= self._fronts or is_old:
+    def update_front_count(self, count: int, now: float) -> None:
+        """Set how many fronts share the fixed allowance."""
+        if math.isinf(self._allowance_from):
+            self._allowance_from = now + SETTLE_TIME_S
+        is_expired = now - self._fronts_at > FRONT_COUNT_LIFE_S
+        if count >= self._fronts or is_expired:
             self._fronts = max(1, count)
             self._fronts_at = now
 
-    def note_request(self, service: ServiceName, now: float) -> None:
-        """Count a request that callers sent for ``service``."""
+    def record_request(self, service: ServiceName, now: float) -> None:
+        """Count a request of a caller for ``service``."""
         self._get(service, now).requests.append(now)
 
     def spend(self, service: ServiceName, now: float) -> bool:
-        """Take one retry; ``False`` when the window holds as many as are allowed."""
+        """Count one retry; return ``False`` if the budget of the window is used up."""
         counts = self._get(service, now)
-        slack = self._slack / self._fronts if now >= self._slack_from else 0.0
-        allowed = SAFETY * (self._ratio * len(counts.requests) + slack)
+        allowance = (
+            self._allowance / self._fronts if now >= self._allowance_from else 0.0
+        )
+        allowed = USED_SHARE * (self._ratio * len(counts.requests) + allowance)
         if len(counts.retries) + 1 > allowed:
             return False
         counts.retries.append(now)
--- a/src/scalebend/core/gateway/service_balancer.py
+++ b/src/scalebend/core/gateway/service_balancer.py
@@ -11,23 +11,24 @@
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import AvailabilityZone, UpstreamId
 
-READING_LIFE = 0.5
-"""Seconds for which an upstream's own count of its load is of use."""
+READING_LIFE_S = 0.5
+"""Time for which a load reading that an upstream reported is used."""
 
 FAILURE_WEIGHT = 8.0
-"""Open requests that a failure rate of 1 weighs as much as."""
+"""Weight of a failure rate of 1, in open requests."""
 
 FAILURE_SMOOTHING = 0.3
-"""Weight of the newest outcome in the failure rate."""
+"""Weight of the newest outcome in the moving average of the failure rate."""
 
-FAILURE_LIFE = 3.0
-"""Seconds after which a failure rate is forgotten, so that the upstream is tried."""
+FAILURE_LIFE_S = 3.0
+"""Time after the last failure for which the failure rate counts; then the upstream is
+tried again."""
 
-SUSPECT_TIME = 1.0
-"""Seconds for which an upstream that could not be reached is avoided."""
+AVOID_S = 1.0
+"""Time for which an unreachable upstream is avoided."""
 
 ZONE_WEIGHT = 0.5
-"""Open requests that another availability zone weighs as much as."""
+"""Weight of another availability zone, in open requests."""
 
 
 class _Record(msgspec.Struct):
@@ -36,16 +37,16 @@
     read_at: float = 0.0
     failure_rate: float = 0.0
     failed_at: float = 0.0
-    suspect_until: float = 0.0
+    avoided_until: float = 0.0
 
 
 class ServiceBalancer:
-    """What one front saw of the upstreams of plain services."""
+    """Load and failures of the upstreams of plain services, as one front saw them."""
 
     def __init__(self) -> None:
         self._records: dict[UpstreamId, _Record] = {}
         self._ejected: frozenset[UpstreamId] = frozenset()
-        """Those that other fronts saw fail, too."""
+        """Ejected by the leader, from the outcomes of all fronts."""
 
     def choose(
         self,
@@ -55,30 +56,30 @@
         chooser: random.Random,
         now: float,
     ) -> Endpoint | None:
-        """The least loaded upstream, by chance among equals."""
+        """Choose the upstream of least weight, at random among equals."""
         usable = [e for e in endpoints if e.upstream not in excluded]
-        sound = [
+        healthy = [
             e
             for e in usable
-            if self._get(e.upstream).suspect_until <= now
+            if self._get(e.upstream).avoided_until <= now
             and e.upstream not in self._ejected
         ]
-        candidates = sound or usable
+        candidates = healthy or usable
         if not candidates:
             return None
         return min(
             candidates, key=lambda e: (self._weigh(e, zone, now), chooser.random())
         )
 
-    def note_ejected(self, upstreams: Iterable[UpstreamId]) -> None:
-        """All upstreams that are to get nothing while others can."""
+    def set_ejected(self, upstreams: Iterable[UpstreamId]) -> None:
+        """Replace the set of ejected upstreams."""
         self._ejected = frozenset(upstreams)
 
-    def note_sent(self, upstream: UpstreamId) -> None:
-        """A request is sent there."""
+    def record_sent(self, upstream: UpstreamId) -> None:
+        """Count a request that is sent to an upstream."""
         self._get(upstream).open += 1
 
-    def note_ended(
+    def record_ended(
         self,
         upstream: UpstreamId,
         reading: LoadReading | None,
@@ -86,7 +87,7 @@
         *,
         has_failed: bool,
     ) -> None:
-        """A request that was sent there ended."""
+        """Record the end of a request that was sent to an upstream."""
         record = self._get(upstream)
         record.open = max(0, record.open - 1)
         if reading is not None:
@@ -97,17 +98,17 @@
             record.failed_at = now
         record.failure_rate += FAILURE_SMOOTHING * (outcome - record.failure_rate)
 
-    def note_unreachable(self, upstream: UpstreamId, now: float) -> None:
-        """No connection could be made, or nothing came."""
-        self._get(upstream).suspect_until = now + SUSPECT_TIME
+    def record_unreachable(self, upstream: UpstreamId, now: float) -> None:
+        """Avoid an upstream that was unreachable or unresponsive."""
+        self._get(upstream).avoided_until = now + AVOID_S
 
     def _weigh(self, endpoint: Endpoint, zone: AvailabilityZone, now: float) -> float:
         record = self._get(endpoint.upstream)
         weight = float(record.open)
-        if record.reading is not None and now - record.read_at < READING_LIFE:
-            seen = record.reading.running + record.reading.waiting
-            weight = max(weight, float(seen))
-        if now - record.failed_at < FAILURE_LIFE:
+        if record.reading is not None and now - record.read_at < READING_LIFE_S:
+            reported = record.reading.running + record.reading.waiting
+            weight = max(weight, float(reported))
+        if now - record.failed_at < FAILURE_LIFE_S:
             weight += FAILURE_WEIGHT * record.failure_rate
         if endpoint.availability_zone != zone:
             weight += ZONE_WEIGHT
--- a/src/scalebend/core/gateway/unanswered_attempts.py
+++ b/src/scalebend/core/gateway/unanswered_attempts.py
@@ -1,9 +1,9 @@
-"""Attempts that got no answer, until it is known whether their replica has ended.
+"""Attempts without a response, kept until it is known whether their replica crashed.
 
-A process that ends closes its connections; a machine that loses power says nothing. The
-attempt falls silent or runs into its deadline, like one at a busy replica or over a
-lost link. Seconds later the replica is missed, or another one has its address: then it
-ended under what it was sent.
+A process that exits closes its connections; a host that loses power does not. The
+attempt then times out like one at a busy replica or over a broken link. Only seconds
+later does the replica miss its heartbeats, or another one register with its address:
+its unanswered requests are then suspects for the crash.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from scalebend.models.ids import Fingerprint, UpstreamId
 
-LIFE = 15.0
-"""Seconds for which an attempt is remembered: a replica counts as gone when it missed
-eight heartbeats, and a machine that starts again has its address back after some."""
+RETENTION_S = 15.0
+"""Time for which an attempt is kept: until a replica has missed eight heartbeats, or a
+restarted host has registered with the same address."""
 
-MOST_NAMED = 64
-"""Requests remembered for one replica: several times what one runs at once."""
+MAX_PER_REPLICA = 64
+"""Attempts kept for one replica: several times its concurrent requests."""
 
 
 class _Attempt(msgspec.Struct, frozen=True):
@@ -26,29 +26,29 @@
 
 
 class UnansweredAttempts:
-    """Recent attempts without an answer, by replica."""
+    """Recent attempts without a response, by replica."""
 
     def __init__(self) -> None:
         self._attempts: dict[UpstreamId, list[_Attempt]] = {}
 
     def add(self, upstream: UpstreamId, fingerprint: Fingerprint, now: float) -> None:
-        """An attempt ended without a word of its replica."""
+        """Store an attempt that ended without any response."""
         attempts = self._attempts.setdefault(upstream, [])
         attempts.append(_Attempt(fingerprint, now))
-        del attempts[:-MOST_NAMED]
+        del attempts[:-MAX_PER_REPLICA]
 
     def list_upstreams(self) -> list[UpstreamId]:
-        """Replicas that owe an answer."""
+        """Replicas with attempts that got no response."""
         return list(self._attempts)
 
-    def take(self, upstream: UpstreamId) -> list[Fingerprint]:
-        """Requests that a replica was sent shortly before it ended."""
+    def pop(self, upstream: UpstreamId) -> list[Fingerprint]:
+        """Remove and return the unanswered requests of a replica that crashed."""
         return [one.fingerprint for one in self._attempts.pop(upstream, ())]
 
     def expire(self, now: float) -> None:
-        """Forget attempts at replicas that did not end soon after."""
+        """Forget attempts at replicas that did not crash soon after."""
         for upstream, attempts in list(self._attempts.items()):
-            kept = [one for one in attempts if now - one.at < LIFE]
+            kept = [one for one in attempts if now - one.at < RETENTION_S]
             if kept:
                 self._attempts[upstream] = kept
             else:
--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -151,21 +151,21 @@
 
     def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
         """A replica turned a request of this instance away, and asked for a pause."""
-        self.backoffs.hear(self._name_incarnation(upstream), seconds, now)
+        self.backoffs.record(self._name_incarnation(upstream), seconds, now)
 
     def may_send(self, upstream: UpstreamId, now: float) -> bool:
         """Whether a replica takes requests from this instance now."""
-        if not self.backoffs.is_any:
+        if not self.backoffs.has_any:
             return True
         return self.backoffs.may_send(self._name_incarnation(upstream), now)
 
     def compute_backoff(self, request: Request, now: float) -> float:
         """Seconds until a replica that serves the request takes one; 0 if one does."""
-        if not self.backoffs.is_any:
+        if not self.backoffs.has_any:
             return 0.0
         serving = self._catalog.list_candidates(request, set())
         names = [self._name_incarnation(c.view.upstream) for c in serving]
-        return self.backoffs.find_soonest(names, now)
+        return self.backoffs.compute_shortest_wait(names, now)
 
     def _name_incarnation(self, upstream: UpstreamId) -> UpstreamId:
         record = self._catalog.get(upstream)
@@ -176,7 +176,7 @@
         self, request: Request, excluded: set[UpstreamId], now: float
     ) -> list[Candidate]:
         found = self._catalog.list_candidates(request, excluded)
-        if self.backoffs.is_any:
+        if self.backoffs.has_any:
             found = [c for c in found if self.may_send(c.view.upstream, now)]
         if not self.outliers.has_any():
             return found
@@ -286,7 +286,7 @@
         self, upstream: UpstreamId, prefill_tokens: int, now: float
     ) -> None:
         self.pending.add(upstream, prefill_tokens)
-        self.outliers.note_chosen(upstream, now)
+        self.outliers.record_chosen(upstream, now)
 
     def _build_work(
         self,
--- a/src/scalebend/core/request_limits.py
+++ b/src/scalebend/core/request_limits.py
@@ -1,9 +1,9 @@
-"""Limits on requests a second that upstreams named, as one process knows them.
+"""Rate limits that upstreams named, as one process knows them.
 
-An upstream in need says in its answers how many requests a second it takes, for as long
-as that holds. Answers overtake each other on their ways, so a lower limit counts at
-once, while a higher one, or none, counts only from a request that was sent when the
-present limit was known already.
+An overloaded upstream names in its responses how many requests a second it takes, and
+stops doing so when the limit ends. Responses may arrive out of order, so a lower limit
+applies at once, while a higher one, or none, applies only if its request was sent when
+the current limit was already known.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from scalebend.models.ids import UpstreamId
 from scalebend.models.request_limits import UNLIMITED, HeardLimit, RequestLimit
 
-ABSENT_MEMORY = 60.0
-"""Seconds for which the limit of an upstream that is not known is kept: one that was
-taken for gone while it only lost its way to control comes back with its need, and a
-control instance that has just started hears of upstreams one after the other."""
+ABSENT_RETENTION_S = 60.0
+"""Time for which the limit of an absent upstream is kept: one that only lost its
+connection to control comes back with its limit, and a control instance that has just
+started learns of upstreams one by one."""
 
 
 class _Record(msgspec.Struct):
@@ -28,27 +28,27 @@
 
 
 class RequestLimits:
-    """Limits of upstreams; one that was ended stays known by its revision."""
+    """Rate limits by upstream; the revision of a limit that ended is kept."""
 
     def __init__(self) -> None:
         self._records: dict[UpstreamId, _Record] = {}
         self._limited: dict[UpstreamId, None] = {}
 
-    # What upstreams and other processes say
+    # Changes
 
-    def hear(self, heard: HeardLimit) -> RequestLimit | None:
-        """Take what an answer said; return the limit if it changed."""
-        known = self.get(heard.upstream)
-        if heard.rate == known.rate:
+    def apply(self, reported: HeardLimit) -> RequestLimit | None:
+        """Apply the limit named in a response; return the new limit if it changed."""
+        known = self.get(reported.upstream)
+        if reported.rate == known.rate:
             return None
-        if heard.rate > known.rate and heard.revision != known.revision:
+        if reported.rate > known.rate and reported.revision != known.revision:
             return None
-        changed = RequestLimit(heard.upstream, heard.rate, known.revision + 1)
+        changed = RequestLimit(reported.upstream, reported.rate, known.revision + 1)
         self._put(changed)
         return changed
 
     def merge(self, limits: Iterable[RequestLimit]) -> list[RequestLimit]:
-        """Take what another process knows; return what is new here."""
+        """Merge the limits that another process knows; return those that changed."""
         changed = []
         for limit in limits:
             known = self.get(limit.upstream)
@@ -66,7 +66,7 @@
         else:
             self._limited.pop(limit.upstream, None)
 
-    # What is known
+    # Lookup
 
     def get(self, upstream: UpstreamId) -> RequestLimit:
         """The limit in force at an upstream."""
@@ -76,7 +76,7 @@
         return RequestLimit(upstream, record.rate, record.revision)
 
     def is_limited(self, upstream: UpstreamId) -> bool:
-        """Whether an upstream takes only so many requests a second."""
+        """Whether a limit is in force at an upstream."""
         return upstream in self._limited
 
     @property
@@ -85,15 +85,15 @@
         return self._limited
 
     def count_limited(self) -> int:
-        """Upstreams with a limit in force."""
+        """Number of upstreams with a limit in force."""
         return len(self._limited)
 
     def list_all(self) -> list[RequestLimit]:
-        """All that is known, also of limits that have ended, for another process."""
+        """All known limits for another process, including those that ended."""
         return [self.get(upstream) for upstream in self._records]
 
     def retain(self, upstreams: Iterable[UpstreamId], now: float) -> None:
-        """Forget upstreams that were not among ``upstreams`` for long."""
+        """Forget upstreams that have long been absent from ``upstreams``."""
         if not self._records:
             return
         present = set(upstreams)
@@ -102,6 +102,6 @@
                 record.absent_since = None
             elif record.absent_since is None:
                 record.absent_since = now
-            elif now - record.absent_since >= ABSENT_MEMORY:
+            elif now - record.absent_since >= ABSENT_RETENTION_S:
                 del self._records[upstream]
                 self._limited.pop(upstream, None)
--- a/src/scalebend/core/retries.py
+++ b/src/scalebend/core/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget, delay between tries, and replicas set aside for failing."""
+"""Retry budget, retry delay, and ejection of failing replicas."""
 
 from __future__ import annotations
 
@@ -8,82 +8,86 @@
 
 from scalebend.models.ids import UpstreamId
 
-BUDGET_RATIO = 0.2
-"""Retries earned by each first attempt."""
+RETRIES_PER_ATTEMPT = 0.2
+"""Retries that each first attempt adds to the budget."""
 
-BUDGET_MOST = 50.0
-"""Retries that may be saved up."""
+MAX_BUDGET_RETRIES = 50.0
+"""Largest budget, in retries."""
 
-BUDGET_START = 10.0
-"""Retries an instance may spend before it served anything."""
+INITIAL_BUDGET_RETRIES = 10.0
+"""Budget of an instance at its start."""
 
-FIRST_DELAY = 0.05
-"""Seconds before the second try, before jitter; doubles with each try."""
+FIRST_DELAY_S = 0.05
+"""Longest delay before the first retry; doubles with each retry."""
 
-LONGEST_DELAY = 2.0
-FAILURES_TO_SET_ASIDE = 3
-FIRST_SET_ASIDE = 2.0
-LONGEST_SET_ASIDE = 60.0
+MAX_DELAY_S = 2.0
+
+FAILURES_TO_EJECT = 3
+"""Consecutive failures after which a replica is ejected."""
+
+FIRST_EJECTION_S = 2.0
+MAX_EJECTION_S = 60.0
+"""Length of an ejection, doubling from the first to the longest."""
 
 
 class RetryBudget:
-    """Bounds retries to a share of first attempts, so that they cannot pile up."""
+    """Token bucket that bounds retries to a share of first attempts."""
 
     def __init__(self) -> None:
-        self._tokens = BUDGET_START
+        self._tokens = INITIAL_BUDGET_RETRIES
 
     def earn(self) -> None:
         """Count one first attempt."""
-        self._tokens = min(BUDGET_MOST, self._tokens + BUDGET_RATIO)
+        self._tokens = min(MAX_BUDGET_RETRIES, self._tokens + RETRIES_PER_ATTEMPT)
 
     def spend(self) -> bool:
-        """Take one retry; ``False`` when the budget is used up."""
+        """Take one retry; return ``False`` if the budget is used up."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
 
-def compute_delay(tries: int, chooser: random.Random) -> float:
-    """Return seconds before try ``tries`` (the second is 1), with full jitter."""
-    ceiling = min(LONGEST_DELAY, FIRST_DELAY * 2 ** max(0, tries - 1))
+def compute_delay(retry: int, chooser: random.Random) -> float:
+    """Return the seconds before retry number ``retry``, from 1, with full jitter."""
+    ceiling = min(MAX_DELAY_S, FIRST_DELAY_S * 2 ** max(0, retry - 1))
     return chooser.uniform(0.0, ceiling)
 
 
 class _Health(msgspec.Struct):
     failures: int = 0
-    set_aside: int = 0
-    until: float = 0.0
+    ejections: int = 0
+    ejected_until: float = 0.0
     is_probing: bool = False
 
 
 class OutlierDetector:
-    """Sets a replica aside after failures in a row and tries it again later.
+    """Ejects a replica after consecutive failures and probes it later.
 
-    After the time is over, one request at a time probes it; a success clears it,
-    a failure sets it aside for twice as long.
+    After the ejection, one request at a time probes the replica; a success clears its
+    record, a failure ejects it for twice as long.
     """
 
     def __init__(self) -> None:
         self._health: dict[UpstreamId, _Health] = {}
 
     def has_any(self) -> bool:
-        """Whether any replica failed lately."""
+        """Whether any replica has a record of failures."""
         return bool(self._health)
 
     def record_success(self, upstream: UpstreamId) -> None:
-        """An attempt on the replica went well."""
+        """Clear the record of a replica after a successful attempt."""
         self._health.pop(upstream, None)
 
     def record_failure(self, upstream: UpstreamId, now: float) -> bool:
-        """An attempt failed through the replica's fault; return if now set aside."""
+        """Count a failure of the replica; return whether it is ejected now."""
         health = self._health.setdefault(upstream, _Health())
         health.failures += 1
-        if health.failures < FAILURES_TO_SET_ASIDE and not health.is_probing:
+        if health.failures < FAILURES_TO_EJECT and not health.is_probing:
             return False
-        duration = min(LONGEST_SET_ASIDE, FIRST_SET_ASIDE * 2**health.set_aside)
-        health.set_aside += 1
-        health.until = now + duration
+        duration = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**health.ejections)
+        health.ejections += 1
+        health.ejected_until = now + duration
         health.is_probing = False
         health.failures = 0
         return True
@@ -91,22 +95,22 @@
     def is_usable(self, upstream: UpstreamId, now: float) -> bool:
         """Whether the replica may be chosen now."""
         health = self._health.get(upstream)
-        if health is None or not health.set_aside:
+        if health is None or not health.ejections:
             return True
-        return now >= health.until and not health.is_probing
+        return now >= health.ejected_until and not health.is_probing
 
-    def note_chosen(self, upstream: UpstreamId, now: float) -> None:
-        """A request was routed there; of a replica set aside, it is the probe."""
+    def record_chosen(self, upstream: UpstreamId, now: float) -> None:
+        """Record a request that goes to the replica: the probe after an ejection."""
         health = self._health.get(upstream)
-        if health is not None and health.set_aside and now >= health.until:
+        if health is not None and health.ejections and now >= health.ejected_until:
             health.is_probing = True
 
     def release_probe(self, upstream: UpstreamId) -> None:
-        """The probe ended without a verdict on the replica."""
+        """Allow another probe after one that neither succeeded nor failed."""
         health = self._health.get(upstream)
         if health is not None:
             health.is_probing = False
 
     def forget(self, upstream: UpstreamId) -> None:
-        """The replica is gone."""
+        """Delete the record of a replica that is gone."""
         self._health.pop(upstream, None)
--- a/src/scalebend/core/send_budget.py
+++ b/src/scalebend/core/send_budget.py
@@ -1,15 +1,15 @@
-"""How many requests a process may send to upstreams that named a limit.
-
-The limit is on the sum over all fronts, so it is granted in one place: the leader
-holds it, and whoever wants to send asks there. The leader leaves out the parts of
-fronts that it does not hear, since these may be sending on their own: each of them has
-an even part, and the parts begin one after the other from the moment at which the
-leader fell silent. What a front sends on its own it tells, and that is taken from what
-the leader grants next. So the sum exceeds the limit by no more than the parts of fronts
-whose silence the leader has not noticed yet.
-
-Sends are spaced by the generic cell rate algorithm (a leaky bucket as a meter): it
-keeps one moment per upstream, and no list of what was sent.
+"""Send permits of one process for rate-limited upstreams.
+
+A limit is on the sum over all fronts, so the leader grants the permits and fronts
+request them there. The leader reserves the shares of fronts that it has lost, since
+these may send uncoordinated: each of them has an equal share, and their permits follow
+one after the other from the last contact with the leader. A front reports its
+uncoordinated sends, and the leader subtracts them from its next grants. So the sum
+exceeds the limit by no more than the shares of fronts whose loss the leader has not
+noticed yet.
+
+Sends are spaced by the generic cell rate algorithm (a leaky bucket as a meter), which
+keeps one time per upstream instead of a list of sends.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 from scalebend.core.request_limits import RequestLimits
 from scalebend.models.ids import UpstreamId
 
-BURST = 0.25
-"""Seconds' worth of a limit, or one request if that is more, that may be sent at once
-after a pause: requests come at random moments, and a limit that spaces them evenly
-would go half unused."""
+BURST_S = 0.25
+"""Burst after an idle time, in seconds at the limit, and one request at least: requests
+arrive at random, so evenly spaced permits would often go unused."""
 
-TURN_LIFE = 1.0
-"""Seconds for which a front may use a turn of its own, or as long as a turn lasts.
-Turns that could be saved up would be used by many fronts at once."""
+PERMIT_LIFE_S = 1.0
+"""Least time for which an uncoordinated send permit is valid; at low rates it is the
+interval of the limit. Permits that never expired could be used by many fronts at once.
+"""
 
-LEAST_RATE = 1.0 / 30.0
-"""Requests a second that are sent even where an upstream takes fewer, or none: only an
-answer tells that its need has ended."""
+MIN_RATE_PER_S = 1.0 / 30.0
+"""Least rate, even for an upstream that takes less or nothing: only a response shows
+that its limit has ended."""
 
 
-class GrantedPart(msgspec.Struct, frozen=True):
-    """What a leader grants: this part of each limit, above 0 and at most 1."""
+class LeaderShare(msgspec.Struct, frozen=True):
+    """The share of each limit that a leader grants, above 0 and at most 1."""
 
-    part: float
+    share: float
 
 
-class OwnTurn(msgspec.Struct, frozen=True):
-    """What a front may send while it hears nothing of a leader.
+class UncoordinatedShare(msgspec.Struct, frozen=True):
+    """The share of each limit that a front uses without a leader.
 
-    Front ``number`` of ``fronts``, from 0, has its turn after those before it, and
-    again when all have had theirs, from ``since`` on: together they send at the limit.
-    Each upstream begins with another front, so that none has to wait for all at once.
+    The ``fronts`` get a permit each in the order of their ``number``, from 0, and start
+    over after the last, from the time ``since`` on: together they send at the limit.
+    The first front differs by upstream, so that none waits for all upstreams at once.
     """
 
     fronts: int
@@ -56,16 +56,16 @@
     since: float
 
 
-Share = GrantedPart | OwnTurn
+Share = LeaderShare | UncoordinatedShare
 
 
 class _Spacing(msgspec.Struct):
-    """Sends at equal distances, with a burst after a pause."""
+    """Permits at equal intervals, with a burst after an idle time."""
 
     interval: float
     burst: float
     due: float
-    """When a request would be due if all had come at equal distances."""
+    """When the next permit is due if all are used at equal intervals."""
 
     def compute_wait(self, now: float) -> float:
         return max(0.0, self.due - self.burst - now)
@@ -77,23 +77,23 @@
         self.due -= self.interval
 
 
-class _Turns(msgspec.Struct):
-    """One send in each turn; a turn that is not used in time is lost."""
+class _ExpiringPermits(msgspec.Struct):
+    """Periodic permits for one send each, which expire when they are not used."""
 
     first: float
-    """When the first turn begins."""
+    """When the first permit becomes valid."""
 
     period: float
     life: float
-    """Seconds for which a turn may be used."""
+    """Seconds for which a permit is valid."""
 
     next: int = 0
-    """Number of the first turn that was not used."""
+    """Number of the first permit that may still be used."""
 
     def compute_wait(self, now: float) -> float:
         current = self._count(now)
-        begin = self.first + current * self.period
-        if self.next <= current and now < begin + self.life:
+        valid_from = self.first + current * self.period
+        if self.next <= current and now < valid_from + self.life:
             return 0.0
         following = max(self.next, current + 1)
         return self.first + following * self.period - now
@@ -105,83 +105,84 @@
         self.next -= 1
 
     def _count(self, now: float) -> int:
-        """Number of the turn that began last; negative before the first."""
+        """Number of the newest valid permit; negative before the first."""
         return math.floor((now - self.first) / self.period)
 
 
-class _Pace(msgspec.Struct):
+class _Pacer(msgspec.Struct):
     rate: float
     share: Share
-    sends: _Spacing | _Turns
+    permits: _Spacing | _ExpiringPermits
 
 
 class SendBudget:
-    """Paces of the limited upstreams, for one process and its share of the limits."""
+    """Send permits for rate-limited upstreams, within one share of their limits."""
 
     def __init__(self, limits: RequestLimits, share: Share) -> None:
         self._limits = limits
         self._share = share
-        self._paces: dict[UpstreamId, _Pace] = {}
+        self._pacers: dict[UpstreamId, _Pacer] = {}
 
     def set_share(self, share: Share, now: float) -> None:
-        """Go on with another share of all limits."""
+        """Change the share of all limits."""
         if share == self._share:
             return
-        if isinstance(share, OwnTurn):
-            self._paces.clear()
+        if isinstance(share, UncoordinatedShare):
+            self._pacers.clear()
         self._share = share
         self.refresh(now)
 
     def restart(self, now: float) -> None:
-        """Forget what was granted: from now on, limits are used up at first."""
-        self._paces.clear()
+        """Forget all grants, and begin with every limit used up."""
+        self._pacers.clear()
         self.refresh(now)
 
     def refresh(self, now: float) -> None:
-        """Begin to count for limits that are new, and adapt to those that changed."""
+        """Adopt new and changed limits, and drop those that ended."""
         for upstream in self._limits.limited:
             self._get(upstream, now)
-        for upstream in [u for u in self._paces if not self._limits.is_limited(u)]:
-            del self._paces[upstream]
+        for upstream in [u for u in self._pacers if not self._limits.is_limited(u)]:
+            del self._pacers[upstream]
 
     def compute_wait(self, upstream: UpstreamId, now: float) -> float:
-        """Seconds until a request may be sent there."""
+        """Seconds until a request may be sent to an upstream."""
         if not self._limits.is_limited(upstream):
             return 0.0
-        return self._get(upstream, now).sends.compute_wait(now)
+        return self._get(upstream, now).permits.compute_wait(now)
 
     def spend(self, upstream: UpstreamId, at: float) -> None:
-        """A request is sent there at ``at``, with or without room for it."""
+        """Count a request that is sent at ``at``, whether or not a permit is free."""
         if self._limits.is_limited(upstream):
-            self._get(upstream, at).sends.spend(at)
+            self._get(upstream, at).permits.spend(at)
 
     def refund(self, upstream: UpstreamId) -> None:
-        """A request that was counted is not sent."""
-        pace = self._paces.get(upstream)
-        if pace is not None:
-            pace.sends.refund()
+        """Return the permit of a counted request that is not sent."""
+        pacer = self._pacers.get(upstream)
+        if pacer is not None:
+            pacer.permits.refund()
 
     def list_limited(self) -> tuple[UpstreamId, ...]:
-        """Upstreams with a limit, whether there is room or not."""
+        """Upstreams with a limit, with or without a free permit."""
         return tuple(self._limits.limited)
 
-    def list_closed(self, now: float) -> tuple[UpstreamId, ...]:
-        """Upstreams that may not be sent a request now."""
+    def list_exhausted(self, now: float) -> tuple[UpstreamId, ...]:
+        """Upstreams without a free permit."""
         return tuple(
             upstream
             for upstream in self._limits.limited
-            if self._get(upstream, now).sends.compute_wait(now) > 0.0
+            if self._get(upstream, now).permits.compute_wait(now) > 0.0
         )
 
     def grant(
-        self, upstreams: Iterable[UpstreamId], patience: float, now: float
+        self, upstreams: Iterable[UpstreamId], max_wait: float, now: float
     ) -> tuple[UpstreamId | None, float]:
-        """Count a send to the upstream with room, or to the first within patience.
+        """Take the first permit of any upstream within ``max_wait`` seconds.
 
-        Returns it with the wait; no upstream, and the least wait, if that is too long.
+        Returns the upstream and the wait, or no upstream and the least wait if that is
+        longer.
         """
         soonest, wait = self.find_soonest(upstreams, now)
-        if soonest is None or wait > patience:
+        if soonest is None or wait > max_wait:
             return None, wait
         self.spend(soonest, now + wait)
         return soonest, wait
@@ -189,47 +190,47 @@
     def find_soonest(
         self, upstreams: Iterable[UpstreamId], now: float
     ) -> tuple[UpstreamId | None, float]:
-        """The first of ``upstreams`` that has room, or gets it first, and the wait."""
-        best: UpstreamId | None = None
+        """Return the upstream with the first free permit, and the wait in seconds."""
+        soonest: UpstreamId | None = None
         least = math.inf
         for upstream in upstreams:
             wait = self.compute_wait(upstream, now)
             if wait < least:
-                best, least = upstream, wait
-        return best, least
-
-    def _get(self, upstream: UpstreamId, now: float) -> _Pace:
-        rate = max(LEAST_RATE, self._limits.get(upstream).rate)
-        pace = self._paces.get(upstream)
-        if pace is not None and pace.rate == rate and pace.share == self._share:
-            return pace
-        sends = _build_sends(upstream, rate, self._share, now)
-        if pace is not None:
-            _carry_over(pace.sends, sends, now)
-        pace = self._paces[upstream] = _Pace(rate, self._share, sends)
-        return pace
-
-
-def _build_sends(
+                soonest, least = upstream, wait
+        return soonest, least
+
+    def _get(self, upstream: UpstreamId, now: float) -> _Pacer:
+        rate = max(MIN_RATE_PER_S, self._limits.get(upstream).rate)
+        pacer = self._pacers.get(upstream)
+        if pacer is not None and pacer.rate == rate and pacer.share == self._share:
+            return pacer
+        permits = _build_permits(upstream, rate, self._share, now)
+        if pacer is not None:
+            _carry_over(pacer.permits, permits, now)
+        pacer = self._pacers[upstream] = _Pacer(rate, self._share, permits)
+        return pacer
+
+
+def _build_permits(
     upstream: UpstreamId, rate: float, share: Share, now: float
-) -> _Spacing | _Turns:
-    """Sends of which the first may not be at once."""
+) -> _Spacing | _ExpiringPermits:
+    """Build permits of which none is free at once."""
     match share:
-        case GrantedPart(part):
-            interval = 1.0 / (rate * part)
-            burst = max(BURST, interval)
+        case LeaderShare(granted):
+            interval = 1.0 / (rate * granted)
+            burst = max(BURST_S, interval)
             return _Spacing(interval, burst, now + burst + interval)
-        case OwnTurn(fronts, number, since):
-            life = max(TURN_LIFE, 1.0 / rate)
-            turn = (number + zlib.crc32(upstream.encode())) % fronts
-            return _Turns(since + (turn + 1) / rate, fronts / rate, life)
+        case UncoordinatedShare(fronts, number, since):
+            life = max(PERMIT_LIFE_S, 1.0 / rate)
+            position = (number + zlib.crc32(upstream.encode())) % fronts
+            return _ExpiringPermits(since + (position + 1) / rate, fronts / rate, life)
 
 
 def _carry_over(
-    before: _Spacing | _Turns, after: _Spacing | _Turns, now: float
+    before: _Spacing | _ExpiringPermits, after: _Spacing | _ExpiringPermits, now: float
 ) -> None:
-    """What was sent lately counts on, but for no more than if nothing were left."""
+    """Count recent sends in the new permits, at most until these are used up."""
     match before, after:
         case _Spacing(), _Spacing():
-            owed = max(0.0, before.due - now) / before.interval
-            after.due = min(after.due, now + owed * after.interval)
+            used = max(0.0, before.due - now) / before.interval
+            after.due = min(after.due, now + used * after.interval)
--- a/src/scalebend/core/upstream_backoff.py
+++ b/src/scalebend/core/upstream_backoff.py
@@ -1,10 +1,9 @@
-"""Pauses for which upstreams want nothing from this process.
+"""Backoffs that upstreams requested from this process with ``Retry-After``.
 
-An upstream that turns a request away may say when its sender may come back. That word
-is for the sender alone: other processes go on as before, and who places work for this
-one learns of it with each question. It belongs to one incarnation of an upstream, and
-ends by time only: each refusal is a word of its own, so a later, shorter one does not
-take an earlier one back.
+A backoff applies to the sender of the rejected request only: other processes go on as
+before, and the leader that places work for this one receives it with each request. It
+belongs to one incarnation of an upstream, and ends by time only: a later, shorter one
+does not replace an earlier one.
 """
 
 from __future__ import annotations
@@ -13,43 +12,45 @@
 
 from scalebend.models.ids import UpstreamId
 
-LONGEST_BACKOFF = 3600.0
-"""Seconds for which a pause is believed: one that was named by mistake must not take an
-upstream away for as long as it lives."""
+MAX_BACKOFF_S = 3600.0
+"""Longest backoff that is respected: an erroneous value must not exclude an upstream
+for good."""
 
 
 class UpstreamBackoffs:
-    """When upstreams that asked for a pause may be sent requests again."""
+    """Times until which upstreams must not be sent requests."""
 
     def __init__(self) -> None:
         self._until: dict[UpstreamId, float] = {}
 
     @property
-    def is_any(self) -> bool:
-        """Whether any upstream may be in a pause."""
+    def has_any(self) -> bool:
+        """Whether any upstream may be in backoff."""
         return bool(self._until)
 
-    def hear(self, upstream: UpstreamId, seconds: float, now: float) -> None:
-        """An upstream wants nothing for ``seconds`` from now on."""
-        until = now + min(seconds, LONGEST_BACKOFF)
+    def record(self, upstream: UpstreamId, seconds: float, now: float) -> None:
+        """Put an upstream in backoff for ``seconds`` from now on."""
+        until = now + min(seconds, MAX_BACKOFF_S)
         self._until[upstream] = max(until, self._until.get(upstream, now))
 
     def compute_wait(self, upstream: UpstreamId, now: float) -> float:
-        """Seconds until an upstream may be sent a request; 0 if it may be now."""
+        """Seconds until the backoff of an upstream ends; 0 if it is in none."""
         return max(0.0, self._until.get(upstream, now) - now)
 
     def may_send(self, upstream: UpstreamId, now: float) -> bool:
         """Whether an upstream may be sent a request now."""
         return self.compute_wait(upstream, now) <= 0.0
 
-    def list_closed(self, now: float) -> list[UpstreamId]:
-        """Upstreams that must not be sent anything now."""
+    def list_in_backoff(self, now: float) -> list[UpstreamId]:
+        """Upstreams that are in backoff."""
         return [one for one in self._until if not self.may_send(one, now)]
 
-    def find_soonest(self, upstreams: Iterable[UpstreamId], now: float) -> float:
-        """Seconds until one of some upstreams may be sent a request."""
+    def compute_shortest_wait(
+        self, upstreams: Iterable[UpstreamId], now: float
+    ) -> float:
+        """Seconds until the first of ``upstreams`` may be sent a request."""
         return min((self.compute_wait(one, now) for one in upstreams), default=0.0)
 
     def expire(self, now: float) -> None:
-        """Forget pauses that are over."""
+        """Forget backoffs that are over."""
         self._until = {one: at for one, at in self._until.items() if at > now}
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -13,9 +13,9 @@
 
 from scalebend.core.gateway.attempts import Attempts, GiveUp, TryAgain
 from scalebend.core.gateway.event_cursor import EventCursor, GarbledEventsError
-from scalebend.core.gateway.patience import (
-    compute_event_patience,
-    compute_first_patience,
+from scalebend.core.gateway.timeouts import (
+    compute_event_timeout,
+    compute_first_byte_timeout,
 )
 from scalebend.edges.gateway.answer_news import hear_answer
 from scalebend.edges.gateway.front_runtime import FrontRuntime
@@ -124,7 +124,7 @@
     async def forward(self) -> web.StreamResponse:
         """Return the answer for the caller, or raise what it is refused with."""
         runtime, call = self._runtime, self._call
-        runtime.instance.retries.note_request(call.service, runtime.now())
+        runtime.instance.retries.record_request(call.service, runtime.now())
         while True:
             hold = self._compute_hold()
             if hold > 0.0:
@@ -169,7 +169,7 @@
         if ended.outcome in (Outcome.SILENT, Outcome.TIMED_OUT):
             runtime.note_unanswered(self._fingerprint, target.upstream)
         if ended.outcome in (Outcome.NOT_SENT, Outcome.SILENT):
-            runtime.instance.balancer.note_unreachable(target.upstream, runtime.now())
+            runtime.instance.balancer.record_unreachable(target.upstream, runtime.now())
         # Silence alone may be a queue: reports tell whether the replica is alive.
         if ended.outcome is Outcome.NOT_SENT:
             runtime.note_replica_failure(faulty)
@@ -203,7 +203,7 @@
     ) -> web.StreamResponse:
         if self._stream is not None:
             raise StreamBrokenError
-        if decision.passes_answer and answer is not None:
+        if decision.passes_response and answer is not None:
             return answer
         if decision.kind in _REFUSALS:
             raise RefusedError(
@@ -322,7 +322,7 @@
     def _compute_patience(self, target: Target) -> float | None:
         if not self._call.route.may_repeat:
             return None
-        return compute_first_patience(self._call.route, target.predicted)
+        return compute_first_byte_timeout(self._call.route, target.predicted)
 
     async def _take_answer(
         self,
@@ -361,8 +361,8 @@
     ) -> _Ended:
         cursor = self._cursor
         cursor.restart()
-        between = compute_event_patience(self._call.route)
-        patience = compute_first_patience(self._call.route, target.predicted)
+        between = compute_event_timeout(self._call.route)
+        patience = compute_first_byte_timeout(self._call.route, target.predicted)
         is_first = True
         while True:
             data = await read_available(answer.content, patience)
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -320,7 +320,7 @@
 
     def hear_backoff(self, upstream: UpstreamId, seconds: float) -> None:
         """An upstream turned a request away, and wants nothing for so long."""
-        self.instance.backoffs.hear(upstream, seconds, self.now())
+        self.instance.backoffs.record(upstream, seconds, self.now())
         self.metrics.count_backoff()
 
     def hear_draining(self, upstream: UpstreamId) -> bool:
--- a/src/scalebend/edges/gateway/leader_calls.py
+++ b/src/scalebend/edges/gateway/leader_calls.py
@@ -14,7 +14,7 @@
     SendAnswer,
     SendQuestion,
 )
-from scalebend.core.gateway.patience import LEADER_PAUSE, PLACE_TIMEOUT
+from scalebend.core.gateway.timeouts import LEADER_BACKOFF_S, PLACEMENT_TIMEOUT_S
 from scalebend.models.ids import InstanceId, SendId
 from scalebend.models.placement import EngineWork, JobId
 
@@ -79,11 +79,11 @@
         self._waiting[name] = future
         self._send(leader, question)
         try:
-            async with asyncio.timeout(PLACE_TIMEOUT):
+            async with asyncio.timeout(PLACEMENT_TIMEOUT_S):
                 return await future
         except TimeoutError:
             if may_pause:
-                self._paused_until = self._loop.time() + LEADER_PAUSE
+                self._paused_until = self._loop.time() + LEADER_BACKOFF_S
             logger.info("leader did not place in time", leader=leader, job=name)
             return None
         finally:
--- a/src/scalebend/edges/gateway/service_choice.py
+++ b/src/scalebend/edges/gateway/service_choice.py
@@ -7,7 +7,7 @@
 import msgspec
 import structlog
 
-from scalebend.core.gateway.patience import compute_room_patience
+from scalebend.core.gateway.timeouts import compute_room_timeout
 from scalebend.edges.gateway.front_runtime import FrontRuntime
 from scalebend.models.calls import Call
 from scalebend.models.endpoints import Endpoint
@@ -41,7 +41,7 @@
     retry_after: float | None = None
     while True:
         usable = instance.directory.list_usable(call.service)
-        closed = instance.backoffs.list_closed(runtime.now())
+        closed = instance.backoffs.list_in_backoff(runtime.now())
         endpoint = instance.balancer.choose(
             usable,
             excluded.union(full, closed),
@@ -60,7 +60,7 @@
         names = {one.upstream: one for one in usable if one.upstream not in left_out}
         limited = [one for one in names if instance.limits.is_limited(one)]
         has_others = len(limited) < len(names)
-        patience = 0.0 if has_others else compute_room_patience(call, runtime.now())
+        patience = 0.0 if has_others else compute_room_timeout(call, runtime.now())
         asked = _draw(runtime, limited, endpoint.upstream)
         granted = await runtime.request_send(asked, patience)
         if granted.upstream is not None:
--- a/src/scalebend/edges/gateway/upstream_choice.py
+++ b/src/scalebend/edges/gateway/upstream_choice.py
@@ -9,9 +9,9 @@
 import msgspec
 import structlog
 
-from scalebend.core.gateway.patience import (
+from scalebend.core.gateway.timeouts import (
     compute_inspection_delay,
-    compute_room_patience,
+    compute_room_timeout,
 )
 from scalebend.edges.gateway.front_runtime import FrontRuntime
 from scalebend.edges.gateway.reservations import HolderSilentError, hold_memory
@@ -135,7 +135,7 @@
             wait = runtime.instance.compute_backoff(call.service, self._excluded, now)
             if wait <= 0.0:
                 return True
-            if wait > compute_room_patience(call, now):
+            if wait > compute_room_timeout(call, now):
                 break
             await asyncio.sleep(wait)
         self.retry_after = wait + runtime.chooser.uniform(0.0, RETURN_SPREAD)
@@ -159,13 +159,13 @@
                 self.retry_after = room.retry_after
             yield None
             return
-        instance.balancer.note_sent(endpoint.upstream)
+        instance.balancer.record_sent(endpoint.upstream)
         self.load = None
         self.has_failed = True
         try:
             yield Target(endpoint.upstream, endpoint.address, [])
         finally:
-            instance.balancer.note_ended(
+            instance.balancer.record_ended(
                 endpoint.upstream,
                 self.load,
                 runtime.now(),
--- a/src/scalebend/measuring/leader_queue.py
+++ b/src/scalebend/measuring/leader_queue.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from scalebend.core.gateway.patience import LEADER_PAUSE, PLACE_TIMEOUT
+from scalebend.core.gateway.timeouts import LEADER_BACKOFF_S, PLACEMENT_TIMEOUT_S
 
 
 class Answer(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
             return Answer(now, is_led=False)
         self.free_at = max(self.free_at, now + way / 2.0) + self._choice_time
         answered_at = self.free_at + way / 2.0
-        if answered_at <= now + PLACE_TIMEOUT:
+        if answered_at <= now + PLACEMENT_TIMEOUT_S:
             return Answer(answered_at, is_led=True)
-        self._paused_until[front] = now + PLACE_TIMEOUT + LEADER_PAUSE
-        return Answer(now + PLACE_TIMEOUT, is_led=False)
+        self._paused_until[front] = now + PLACEMENT_TIMEOUT_S + LEADER_BACKOFF_S
+        return Answer(now + PLACEMENT_TIMEOUT_S, is_led=False)
--- a/tests/lib/front.py
+++ b/tests/lib/front.py
@@ -65,7 +65,7 @@
     instance = runtime.instance
     instance.table = RouteTable(routing)
     instance.lease.confirm(now + 60.0, routing.version, routing.version)
-    instance.retries.set_fronts(1, now - 10.0)
+    instance.retries.update_front_count(1, now - 10.0)
     runtime._first_lease.set()
     async with (
         open_upstream_sessions() as sessions,
--- a/tests/unit/gateway/test_attempts.py
+++ b/tests/unit/gateway/test_attempts.py
@@ -12,7 +12,7 @@
 
 def build_budget(slack=1_000.0):
     window = RetryWindow(0.0, slack, 10.0)
-    window.set_fronts(1, -10.0)
+    window.update_front_count(1, -10.0)
     return window
 
 
@@ -74,7 +74,7 @@
 def test_own_failure_of_the_upstream_is_passed_on_at_last():
     used, end = run_attempts(build_call(), [Outcome.FAILED, Outcome.FAILED])
     assert len(used) == 2
-    assert end.passes_answer
+    assert end.passes_response
 
 
 def test_empty_budget_ends_the_call():
--- a/tests/unit/gateway/test_backoff.py
+++ b/tests/unit/gateway/test_backoff.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 from structlog.testing import capture_logs
 
-from scalebend.core.upstream_backoff import LONGEST_BACKOFF, UpstreamBackoffs
+from scalebend.core.upstream_backoff import MAX_BACKOFF_S, UpstreamBackoffs
 from scalebend.edges.gateway.upstream_choice import RETURN_SPREAD
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Declined
@@ -30,41 +30,41 @@
 
 def test_pause_ends_by_time_only():
     backoffs = UpstreamBackoffs()
-    backoffs.hear(ONE, 3.0, 10.0)
+    backoffs.record(ONE, 3.0, 10.0)
     assert not backoffs.may_send(ONE, 12.9)
     assert backoffs.may_send(OTHER, 12.9)
-    assert backoffs.list_closed(12.9) == [ONE]
+    assert backoffs.list_in_backoff(12.9) == [ONE]
     assert backoffs.may_send(ONE, 13.0)
-    assert backoffs.list_closed(13.0) == []
+    assert backoffs.list_in_backoff(13.0) == []
 
 
 def test_shorter_pause_takes_back_no_longer_one():
     backoffs = UpstreamBackoffs()
-    backoffs.hear(ONE, 3.0, 10.0)
-    backoffs.hear(ONE, 0.5, 11.0)
+    backoffs.record(ONE, 3.0, 10.0)
+    backoffs.record(ONE, 0.5, 11.0)
     assert backoffs.compute_wait(ONE, 11.0) == 2.0
-    backoffs.hear(ONE, 3.0, 12.0)
+    backoffs.record(ONE, 3.0, 12.0)
     assert backoffs.compute_wait(ONE, 12.0) == 3.0
 
 
 def test_soonest_of_several():
     backoffs = UpstreamBackoffs()
-    backoffs.hear(ONE, 3.0, 10.0)
-    backoffs.hear(OTHER, 1.0, 10.0)
-    assert backoffs.find_soonest([ONE, OTHER], 10.0) == 1.0
-    assert backoffs.find_soonest([ONE, UpstreamId("i-3")], 10.0) == 0.0
+    backoffs.record(ONE, 3.0, 10.0)
+    backoffs.record(OTHER, 1.0, 10.0)
+    assert backoffs.compute_shortest_wait([ONE, OTHER], 10.0) == 1.0
+    assert backoffs.compute_shortest_wait([ONE, UpstreamId("i-3")], 10.0) == 0.0
 
 
 def test_pause_named_by_mistake_ends():
     backoffs = UpstreamBackoffs()
-    backoffs.hear(ONE, 999_999_999.0, 0.0)
-    assert backoffs.may_send(ONE, LONGEST_BACKOFF)
+    backoffs.record(ONE, 999_999_999.0, 0.0)
+    assert backoffs.may_send(ONE, MAX_BACKOFF_S)
 
 
 def test_pauses_that_are_over_are_forgotten():
     backoffs = UpstreamBackoffs()
-    backoffs.hear(ONE, 3.0, 10.0)
-    backoffs.hear(OTHER, 9.0, 10.0)
+    backoffs.record(ONE, 3.0, 10.0)
+    backoffs.record(OTHER, 9.0, 10.0)
     backoffs.expire(14.0)
     assert list(backoffs._until) == [OTHER]
 
@@ -192,7 +192,7 @@
     deployment = build_deployment(2, 18, has_engines=True)
     asked, other = deployment.fronts
     closed = deployment.endpoints[0].upstream
-    asked.backoffs.hear(closed, 3.0, deployment.now)
+    asked.backoffs.record(closed, 3.0, deployment.now)
     for number in range(200):
         placed = deployment.place(asked, build_quick(number))
         assert closed not in placed.upstreams
@@ -213,7 +213,7 @@
     deployment.lose_leader()
     one, another, _ = (endpoint.upstream for endpoint in deployment.endpoints)
     for closed in (one, another):
-        front.backoffs.hear(closed, 3.0, deployment.now)
+        front.backoffs.record(closed, 3.0, deployment.now)
     for number in range(20):
         placed = deployment.place(front, build_quick(number))
         assert not {one, another} & set(placed.upstreams)
@@ -225,7 +225,7 @@
     placed = deployment.place(front, build_work(1, 300_000))
     assert front.list_left(placed, deployment.now) == set()
     helper = placed.helpers[0].upstream
-    front.backoffs.hear(helper, 3.0, deployment.now)
+    front.backoffs.record(helper, 3.0, deployment.now)
     assert front.list_left(placed, deployment.now) == {helper}
 
 
@@ -233,7 +233,7 @@
     deployment = build_deployment(1, 1, has_engines=True)
     (front,) = deployment.fronts
     closed = deployment.endpoints[0].upstream
-    front.backoffs.hear(closed, 3.0, deployment.now)
+    front.backoffs.record(closed, 3.0, deployment.now)
     assert isinstance(deployment.place(front, build_quick(1)), Declined)
     assert front.compute_backoff(build_quick(1).service, (), deployment.now) == 3.0
     assert front.backoffs.may_send(UpstreamId(f"{closed}/2"), deployment.now)
--- a/tests/unit/gateway/test_heard_limits.py
+++ b/tests/unit/gateway/test_heard_limits.py
@@ -3,7 +3,7 @@
 import pytest
 from aiohttp import web
 
-from scalebend.core.request_limits import ABSENT_MEMORY, RequestLimits
+from scalebend.core.request_limits import ABSENT_RETENTION_S, RequestLimits
 from scalebend.models.ids import UpstreamId
 from scalebend.models.request_limits import UNLIMITED, HeardLimit
 from tests.lib.front import run_front, serve
@@ -13,7 +13,7 @@
 
 
 def hear(limits, rate, revision):
-    changed = limits.hear(HeardLimit(UPSTREAM, rate, revision))
+    changed = limits.apply(HeardLimit(UPSTREAM, rate, revision))
     return changed.revision if changed is not None else None
 
 
@@ -51,9 +51,9 @@
     limits.retain([UPSTREAM], 0.0)
     limits.retain([], 1.0)
     # It may only have lost its way to control.
-    limits.retain([], ABSENT_MEMORY)
+    limits.retain([], ABSENT_RETENTION_S)
     assert limits.count_limited() == 1
-    limits.retain([], 1.0 + ABSENT_MEMORY)
+    limits.retain([], 1.0 + ABSENT_RETENTION_S)
     assert limits.count_limited() == 0
     assert limits.get(UPSTREAM).revision == 0
 
--- a/tests/unit/gateway/test_incarnations.py
+++ b/tests/unit/gateway/test_incarnations.py
@@ -130,9 +130,9 @@
 
 def test_failures_of_a_life_do_not_eject_the_next():
     outliers = OutlierDetector()
-    outliers.note(UpstreamOutcomes(id_of(1), 0, 9), SERVICE, 6, 0.0)
+    outliers.record(UpstreamOutcomes(id_of(1), 0, 9), SERVICE, 6, 0.0)
     assert [one.upstream for one in outliers.list_ejections(0.1)] == [id_of(1)]
-    outliers.note(UpstreamOutcomes(id_of(2), 3, 0), SERVICE, 6, 0.2)
+    outliers.record(UpstreamOutcomes(id_of(2), 3, 0), SERVICE, 6, 0.2)
     assert id_of(2) not in [one.upstream for one in outliers.list_ejections(0.3)]
 
 
--- a/tests/unit/gateway/test_limit_exchange.py
+++ b/tests/unit/gateway/test_limit_exchange.py
@@ -1,8 +1,8 @@
 """What a leader grants, tells and forgets of limits on requests a second."""
 
 from scalebend.core.gateway.limit_exchange import (
-    MISSING_MEMORY,
-    SPREAD_PERIOD,
+    LOST_FRONT_RETENTION_S,
+    UPDATE_PERIOD_S,
     LimitExchange,
 )
 from scalebend.core.gateway.messages import FrontPlace, LimitNews, SendQuestion
@@ -17,7 +17,7 @@
     exchange = LimitExchange()
     for front in FRONTS:
         exchange.add_front(front, 0.0)
-    exchange.hear(FRONTS[0], [HeardLimit(UPSTREAM, 1.0, 0)], 0.0)
+    exchange.receive(FRONTS[0], [HeardLimit(UPSTREAM, 1.0, 0)], 0.0)
     return exchange
 
 
@@ -25,7 +25,7 @@
     granted = 0
     for step in range(seconds * 10):
         question = SendQuestion(SendId(step), [UPSTREAM], 0.0)
-        answer = exchange.answer(question, begin + step / 10, may_grant=may_grant)
+        answer = exchange.grant(question, begin + step / 10, may_grant=may_grant)
         granted += answer.upstream is not None
     return granted
 
@@ -38,7 +38,7 @@
     assert 19 <= count_granted(exchange, 50.0, 40) <= 22
     exchange.add_front(FRONTS[2], 100.0)
     assert 29 <= count_granted(exchange, 100.0, 40) <= 32
-    exchange.expire(50.0 + MISSING_MEMORY)
+    exchange.expire(50.0 + LOST_FRONT_RETENTION_S)
     assert 39 <= count_granted(exchange, 150.0, 40) <= 42
 
 
@@ -62,10 +62,10 @@
     assert len({id(one) for one in news}) == 1
     assert places == [FrontPlace(4, number) for number in range(4)]
     assert exchange.send_due(2.0, is_leader=True) == []
-    exchange.hear(FRONTS[1], [HeardLimit(UPSTREAM, 1.0, 1)], 2.0)
+    exchange.receive(FRONTS[1], [HeardLimit(UPSTREAM, 1.0, 1)], 2.0)
     assert exchange.send_due(3.0, is_leader=True) == []
-    exchange.hear(FRONTS[1], [HeardLimit(UPSTREAM, 0.5, 1)], 3.0)
-    assert exchange.send_due(3.0 - SPREAD_PERIOD, is_leader=True) != []
+    exchange.receive(FRONTS[1], [HeardLimit(UPSTREAM, 0.5, 1)], 3.0)
+    assert exchange.send_due(3.0 - UPDATE_PERIOD_S, is_leader=True) != []
 
 
 def test_fronts_that_were_lost_keep_their_place_among_the_others():
@@ -78,9 +78,9 @@
 
 def test_front_that_is_linked_is_told_all_limits():
     exchange = build_exchange()
-    (greeting,) = exchange.greet(FRONTS[2])
+    (greeting,) = exchange.send_all(FRONTS[2])
     assert greeting.message == LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])
-    assert LimitExchange().greet(FRONTS[2]) == []
+    assert LimitExchange().send_all(FRONTS[2]) == []
 
 
 def test_new_leader_takes_the_latest_word():
--- a/tests/unit/gateway/test_lost_replicas.py
+++ b/tests/unit/gateway/test_lost_replicas.py
@@ -79,7 +79,7 @@
         lost = front.add(1, find_closed_port())
         busy = front.add(2, good)
         for _ in range(4):
-            front.runtime.instance.balancer.note_sent(busy.upstream)
+            front.runtime.instance.balancer.record_sent(busy.upstream)
         # The lost one has nothing to do, so it is always tried first.
         async with front.call() as answer:
             assert answer.status == 200
--- a/tests/unit/gateway/test_outlier_detector.py
+++ b/tests/unit/gateway/test_outlier_detector.py
@@ -12,9 +12,9 @@
 
 from scalebend.core.gateway.messages import EjectedUpstreams, OutcomesSeen
 from scalebend.core.gateway.outlier_detector import (
-    FIRST_EJECTION,
-    FORGET_AFTER,
-    LONGEST_EJECTION,
+    FIRST_EJECTION_S,
+    MAX_EJECTION_S,
+    RESET_AFTER_S,
     OutlierDetector,
 )
 from scalebend.models.endpoints import UpstreamOutcomes
@@ -27,11 +27,11 @@
 
 def fail(detector, upstream=BAD, *, count=1, usable=5, now=0.0, service=SERVICE):
     for _ in range(count):
-        detector.note(UpstreamOutcomes(upstream, 0, 1), service, usable, now)
+        detector.record(UpstreamOutcomes(upstream, 0, 1), service, usable, now)
 
 
 def answer(detector, upstream=BAD, *, count=1, usable=5, now=0.0):
-    detector.note(UpstreamOutcomes(upstream, count, 0), SERVICE, usable, now)
+    detector.record(UpstreamOutcomes(upstream, count, 0), SERVICE, usable, now)
 
 
 def list_ejected(detector, now=0.0):
@@ -72,16 +72,16 @@
         lengths.append(ejection.until - now)
         now = ejection.until
         assert list_ejected(detector, now) == []
-    assert lengths == [FIRST_EJECTION, 4.0, LONGEST_EJECTION, LONGEST_EJECTION]
+    assert lengths == [FIRST_EJECTION_S, 4.0, MAX_EJECTION_S, MAX_EJECTION_S]
 
 
 def test_one_that_answers_again_starts_over():
     detector = OutlierDetector()
     fail(detector, count=3)
-    detector.expire(FORGET_AFTER)
-    fail(detector, count=3, now=FORGET_AFTER)
-    (ejection,) = detector.list_ejections(FORGET_AFTER)
-    assert ejection.until == FORGET_AFTER + FIRST_EJECTION
+    detector.expire(RESET_AFTER_S)
+    fail(detector, count=3, now=RESET_AFTER_S)
+    (ejection,) = detector.list_ejections(RESET_AFTER_S)
+    assert ejection.until == RESET_AFTER_S + FIRST_EJECTION_S
 
 
 @pytest.mark.parametrize(("usable", "most"), [(1, 0), (2, 1), (5, 1), (30, 10)])
@@ -132,7 +132,7 @@
     assert news.upstreams == [deployment.endpoints[0].upstream]
     ended = [
         action.message
-        for action in deployment.run(FIRST_EJECTION + 0.1)
+        for action in deployment.run(FIRST_EJECTION_S + 0.1)
         if isinstance(action.message, EjectedUpstreams)
     ]
     assert ended[-1].upstreams == []
--- a/tests/unit/gateway/test_pauses_kept.py
+++ b/tests/unit/gateway/test_pauses_kept.py
@@ -54,7 +54,7 @@
         upstream = self.deployment.endpoints[engine].upstream
         self.deployment.note_rejection(self.deployment.fronts[front], upstream)
         instance = self.deployment.fronts[front]
-        instance.backoffs.hear(upstream, seconds, self.now)
+        instance.backoffs.record(upstream, seconds, self.now)
         before = self.until.get((front, upstream), 0.0)
         self.until[front, upstream] = max(before, self.now + seconds)
 
--- a/tests/unit/gateway/test_retry_window.py
+++ b/tests/unit/gateway/test_retry_window.py
@@ -15,10 +15,10 @@
     fronts = [RetryWindow(RATIO, SLACK, WINDOW) for _ in range(9)]
     requests, retries = [], []
     for front in fronts:
-        front.set_fronts(9, -10.0)
+        front.update_front_count(9, -10.0)
     for number, at, is_retry in sorted(events, key=lambda event: event[1]):
         if not is_retry:
-            fronts[number].note_request(SERVICE, at)
+            fronts[number].record_request(SERVICE, at)
             requests.append(at)
         elif fronts[number].spend(SERVICE, at):
             retries.append(at)
@@ -30,7 +30,7 @@
 
 def test_window_slides():
     window = RetryWindow(0.0, 10.0, WINDOW)
-    window.set_fronts(1, -10.0)
+    window.update_front_count(1, -10.0)
     taken = sum(window.spend(SERVICE, 0.0) for _ in range(20))
     assert taken == 7
     assert not window.spend(SERVICE, 9.9)
@@ -39,7 +39,7 @@
 
 def test_services_have_budgets_of_their_own():
     window = RetryWindow(0.0, 2.0, WINDOW)
-    window.set_fronts(1, -10.0)
+    window.update_front_count(1, -10.0)
     assert window.spend(SERVICE, 0.0)
     assert not window.spend(SERVICE, 0.0)
     assert window.spend("other", 0.0)
@@ -47,21 +47,21 @@
 
 def test_control_instance_that_just_started_does_not_raise_the_part():
     window = RetryWindow(0.0, 90.0, WINDOW)
-    window.set_fronts(9, 0.0)
-    window.set_fronts(1, 5.0)
+    window.update_front_count(9, 0.0)
+    window.update_front_count(1, 5.0)
     assert sum(window.spend(SERVICE, 6.0) for _ in range(90)) == 7
 
 
 def test_front_that_just_started_uses_no_fixed_part_yet():
     window = RetryWindow(0.0, 90.0, WINDOW)
     assert not window.spend(SERVICE, 0.0)
-    window.set_fronts(1, 1.0)
+    window.update_front_count(1, 1.0)
     assert not window.spend(SERVICE, 1.5)
     assert window.spend(SERVICE, 3.5)
 
 
 def test_fewer_fronts_are_believed_in_time():
     window = RetryWindow(0.0, 90.0, WINDOW)
-    window.set_fronts(9, 0.0)
-    window.set_fronts(3, 31.0)
+    window.update_front_count(9, 0.0)
+    window.update_front_count(3, 31.0)
     assert sum(window.spend(SERVICE, 32.0) for _ in range(90)) == 21
--- a/tests/unit/gateway/test_silent_ends.py
+++ b/tests/unit/gateway/test_silent_ends.py
@@ -8,7 +8,7 @@
 
 from scalebend.core.crash_ledger import MOST_ENDED
 from scalebend.core.gateway.messages import EndpointChanges
-from scalebend.core.gateway.unanswered_attempts import LIFE, UnansweredAttempts
+from scalebend.core.gateway.unanswered_attempts import RETENTION_S, UnansweredAttempts
 from scalebend.models.endpoints import EndpointNews
 from scalebend.models.ids import Fingerprint
 from scalebend.models.routing import RouteKind
@@ -104,7 +104,7 @@
     early, late = Fingerprint("early"), Fingerprint("late")
     name = build_endpoint(1).upstream
     attempts.add(name, early, 0.0)
-    attempts.add(name, late, LIFE / 2)
-    attempts.expire(LIFE)
-    assert attempts.take(name) == [late]
+    attempts.add(name, late, RETENTION_S / 2)
+    attempts.expire(RETENTION_S)
+    assert attempts.pop(name) == [late]
     assert attempts.list_upstreams() == []
--- a/tests/unit/gateway/test_tired_engines.py
+++ b/tests/unit/gateway/test_tired_engines.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from scalebend.core.gateway.attempts import MOST_REJECTIONS
+from scalebend.core.gateway.attempts import MAX_REJECTIONS
 from scalebend.core.gateway.engine_scheduler import REJECTION_MEMORY
 from scalebend.models.placement import Placement
 from tests.lib.gateway_builders import build_quick
@@ -63,7 +63,7 @@
     def _arrive(self):
         front = self.chance.choice(self.deployment.fronts)
         excluded = ()
-        for _ in range(MOST_REJECTIONS):
+        for _ in range(MAX_REJECTIONS):
             self._count += 1
             work = build_quick(self._count, excluded=excluded)
             placed = self.deployment.place(front, work)
@@ -78,7 +78,7 @@
             self.deployment.note_stage(front, work.job, is_ended=True)
             self.deployment.note_rejection(front, placed.upstream)
             if self.pause:
-                front.backoffs.hear(placed.upstream, self.pause, self.deployment.now)
+                front.backoffs.record(placed.upstream, self.pause, self.deployment.now)
             excluded = (*excluded, placed.upstream)
         self.refused += 1
 
--- a/tests/unit/test_send_budget.py
+++ b/tests/unit/test_send_budget.py
@@ -5,12 +5,12 @@
 
 from scalebend.core.request_limits import RequestLimits
 from scalebend.core.send_budget import (
-    BURST,
-    LEAST_RATE,
-    TURN_LIFE,
-    GrantedPart,
-    OwnTurn,
+    BURST_S,
+    MIN_RATE_PER_S,
+    PERMIT_LIFE_S,
+    LeaderShare,
     SendBudget,
+    UncoordinatedShare,
 )
 from scalebend.models.ids import UpstreamId
 from scalebend.models.request_limits import UNLIMITED, HeardLimit
@@ -24,7 +24,7 @@
 
 def build_budget(rate, share):
     limits = RequestLimits()
-    limits.hear(HeardLimit(UPSTREAM, rate, 0))
+    limits.apply(HeardLimit(UPSTREAM, rate, 0))
     return limits, SendBudget(limits, share)
 
 
@@ -53,10 +53,10 @@
 
 @given(PAUSES, RATES, st.sampled_from([0.25, 1.0]), st.sampled_from([0.0, 0.2]))
 def test_leader_never_grants_more_than_its_part(pauses, rate, part, patience):
-    _, budget = build_budget(rate, GrantedPart(part))
+    _, budget = build_budget(rate, LeaderShare(part))
     budget.refresh(0.0)
     times = ask([budget], pauses, patience)
-    burst = max(BURST, 1.0 / (rate * part))
+    burst = max(BURST_S, 1.0 / (rate * part))
     for window in (1.0, 4.0):
         most = 1.0 + rate * part * (window + burst)
         assert count_most(times, window) <= most + 1e-6
@@ -64,16 +64,16 @@
 
 @given(PAUSES, RATES, st.integers(1, 7))
 def test_fronts_that_take_turns_do_not_exceed_the_limit_together(pauses, rate, fronts):
-    turns = [OwnTurn(fronts, number, 0.0) for number in range(fronts)]
+    turns = [UncoordinatedShare(fronts, number, 0.0) for number in range(fronts)]
     budgets = [build_budget(rate, turn)[1] for turn in turns]
     times = ask(budgets, pauses)
-    life = max(TURN_LIFE, 1.0 / rate)
+    life = max(PERMIT_LIFE_S, 1.0 / rate)
     for window in (1.0, 4.0):
         assert count_most(times, window) <= 1.0 + rate * (window + life) + 1e-6
 
 
 def test_nothing_may_be_sent_at_first():
-    for share in (GrantedPart(1.0), OwnTurn(1, 0, 5.0)):
+    for share in (LeaderShare(1.0), UncoordinatedShare(1, 0, 5.0)):
         _, budget = build_budget(2.0, share)
         budget.refresh(5.0)
         assert budget.compute_wait(UPSTREAM, 5.0) == pytest.approx(0.5)
@@ -82,30 +82,30 @@
 
 
 def test_part_that_shrinks_and_grows():
-    _, budget = build_budget(1.0, GrantedPart(1.0))
+    _, budget = build_budget(1.0, LeaderShare(1.0))
     budget.refresh(0.0)
-    budget.set_share(GrantedPart(0.25), 10.0)
+    budget.set_share(LeaderShare(0.25), 10.0)
     times = ask([budget], [10.0, *[0.1] * 400])
     assert 10 <= len(times) <= 0.25 * 40 + 2
-    budget.set_share(GrantedPart(1.0), 60.0)
+    budget.set_share(LeaderShare(1.0), 60.0)
     assert len(ask([budget], [60.0, *[0.1] * 100])) >= 10
 
 
 def test_limit_that_changes_keeps_what_was_sent_in_mind():
-    limits, budget = build_budget(1.0, GrantedPart(1.0))
+    limits, budget = build_budget(1.0, LeaderShare(1.0))
     budget.refresh(0.0)
     while take(budget, 10.0) is not None:
         pass
-    limits.hear(HeardLimit(UPSTREAM, 0.5, 1))
+    limits.apply(HeardLimit(UPSTREAM, 0.5, 1))
     assert budget.compute_wait(UPSTREAM, 10.0) == pytest.approx(2.0)
-    limits.hear(HeardLimit(UPSTREAM, 10.0, 2))
+    limits.apply(HeardLimit(UPSTREAM, 10.0, 2))
     assert budget.compute_wait(UPSTREAM, 10.0) <= 0.2
-    limits.hear(HeardLimit(UPSTREAM, UNLIMITED, 3))
+    limits.apply(HeardLimit(UPSTREAM, UNLIMITED, 3))
     assert budget.compute_wait(UPSTREAM, 10.0) == 0.0
 
 
 def test_request_that_is_not_sent_gives_its_place_back():
-    for share in (GrantedPart(1.0), OwnTurn(1, 0, 0.0)):
+    for share in (LeaderShare(1.0), UncoordinatedShare(1, 0, 0.0)):
         _, budget = build_budget(1.0, share)
         budget.refresh(0.0)
         budget.spend(UPSTREAM, 1.0)
@@ -116,14 +116,14 @@
 
 
 def test_upstream_that_takes_nothing_gets_a_question_now_and_then():
-    _, budget = build_budget(0.0, GrantedPart(1.0))
+    _, budget = build_budget(0.0, LeaderShare(1.0))
     budget.refresh(0.0)
-    assert budget.compute_wait(UPSTREAM, 0.0) == pytest.approx(1.0 / LEAST_RATE)
+    assert budget.compute_wait(UPSTREAM, 0.0) == pytest.approx(1.0 / MIN_RATE_PER_S)
 
 
 def test_first_that_has_room_is_taken():
-    limits, budget = build_budget(1.0, GrantedPart(1.0))
-    limits.hear(HeardLimit(OTHER, 2.0, 0))
+    limits, budget = build_budget(1.0, LeaderShare(1.0))
+    limits.apply(HeardLimit(OTHER, 2.0, 0))
     budget.refresh(0.0)
     assert budget.grant([UPSTREAM, OTHER], 0.0, 0.0) == (None, pytest.approx(0.5))
     assert budget.grant([UPSTREAM, OTHER], 0.6, 0.0) == (OTHER, pytest.approx(0.5))
--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_sharing.py
@@ -152,11 +152,11 @@
     assert outliers.record_failure("e", 0.0)
     assert not outliers.is_usable("e", 1.9)
     assert outliers.is_usable("e", 2.0)
-    outliers.note_chosen("e", 2.0)
+    outliers.record_chosen("e", 2.0)
     assert not outliers.is_usable("e", 2.0)
     assert outliers.record_failure("e", 2.1)
     assert not outliers.is_usable("e", 6.0)
-    outliers.note_chosen("e", 6.2)
+    outliers.record_chosen("e", 6.2)
     outliers.record_success("e")
     assert outliers.is_usable("e", 6.3)
 
