--- a/tests/unit/gateway/test_attempts.py
+++ b/tests/unit/gateway/test_attempts.py
@@ -10,8 +10,8 @@
 MAY_HAVE_RUN = {Outcome.FAILED, Outcome.BROKEN, Outcome.SILENT, Outcome.TIMED_OUT}
 
 
-def build_budget(slack=1_000.0):
-    window = RetryWindow(0.0, slack, 10.0)
+def build_budget(allowance=1_000.0):
+    window = RetryWindow(0.0, allowance, 10.0)
     window.update_front_count(1, -10.0)
     return window
 
@@ -38,7 +38,7 @@
 
 
 @given(OUTCOMES)
-def test_not_repeatable_request_runs_at_most_once(outcomes):
+def test_non_idempotent_request_runs_at_most_once(outcomes):
     call = build_call(build_route(kind=RouteKind.NON_IDEMPOTENT, attempts_most=3))
     used, end = run_attempts(call, outcomes)
     assert sum(outcome in MAY_HAVE_RUN for outcome in used) <= 1
@@ -46,7 +46,7 @@
 
 
 @given(OUTCOMES, st.sampled_from(RouteKind), st.integers(1, 3))
-def test_refusal_as_not_run_is_true(outcomes, kind, attempts_most):
+def test_request_reported_as_not_run_never_ran(outcomes, kind, attempts_most):
     call = build_call(build_route(kind=kind, attempts_most=attempts_most))
     used, end = run_attempts(call, outcomes)
     if end is not None and end.ran is Ran.NO:
@@ -62,7 +62,7 @@
     assert sum(outcome in MAY_HAVE_RUN for outcome in used) <= attempts_most
 
 
-def test_stream_that_may_be_resumed_is_tried_again():
+def test_resumable_stream_is_retried():
     route = build_route(kind=RouteKind.STREAMING, is_resumable=True)
     _, end = run_attempts(build_call(route), [Outcome.BROKEN])
     assert end is None
@@ -71,7 +71,7 @@
     assert end.ran is Ran.UNKNOWN
 
 
-def test_own_failure_of_the_upstream_is_passed_on_at_last():
+def test_error_response_of_last_attempt_is_passed_on():
     used, end = run_attempts(build_call(), [Outcome.FAILED, Outcome.FAILED])
     assert len(used) == 2
     assert end.passes_response
@@ -82,20 +82,20 @@
     assert end.kind is ErrorKind.UPSTREAM_FAILED
 
 
-def test_what_was_never_sent_costs_no_budget():
+def test_unsent_attempt_uses_no_retry_budget():
     attempts = Attempts(build_call())
     decision = attempts.decide(Outcome.NOT_SENT, "i-1", build_budget(0.0), 0.0)
     assert decision == TryAgain()
     assert attempts.excluded == {"i-1"}
 
 
-def test_no_attempt_begins_at_the_deadline():
+def test_no_attempt_starts_shortly_before_the_deadline():
     attempts = Attempts(build_call(deadline=1.0))
     decision = attempts.decide(Outcome.BROKEN, "i-1", build_budget(), 0.99)
     assert isinstance(decision, GiveUp)
 
 
-def test_replica_that_left_before_its_turn_costs_no_budget():
+def test_replica_gone_before_the_send_uses_no_retry_budget():
     attempts = Attempts(build_call())
     decision = attempts.decide(Outcome.LEFT, "i-1", build_budget(0.0), 0.0)
     assert decision == TryAgain()
--- a/tests/unit/gateway/test_limit_exchange.py
+++ b/tests/unit/gateway/test_limit_exchange.py
@@ -1,4 +1,4 @@
-"""What a leader grants, tells and forgets of limits on requests a second."""
+"""Rate limits at the leader: grants, updates to fronts, and expiry of lost fronts."""
 
 from scalebend.core.gateway.limit_exchange import (
     LOST_FRONT_RETENTION_S,
@@ -21,16 +21,16 @@
     return exchange
 
 
-def count_granted(exchange, begin, seconds, *, may_grant=True):
+def count_granted(exchange, start, seconds, *, may_grant=True):
     granted = 0
     for step in range(seconds * 10):
-        question = SendQuestion(SendId(step), [UPSTREAM], 0.0)
-        answer = exchange.grant(question, begin + step / 10, may_grant=may_grant)
-        granted += answer.upstream is not None
+        request = SendQuestion(SendId(step), [UPSTREAM], 0.0)
+        reply = exchange.grant(request, start + step / 10, may_grant=may_grant)
+        granted += reply.upstream is not None
     return granted
 
 
-def test_parts_of_lost_fronts_are_kept_back_for_a_while():
+def test_shares_of_lost_fronts_are_reserved_until_they_expire():
     exchange = build_exchange()
     assert 39 <= count_granted(exchange, 10.0, 40) <= 42
     exchange.remove_front(FRONTS[3], 50.0)
@@ -42,25 +42,25 @@
     assert 39 <= count_granted(exchange, 150.0, 40) <= 42
 
 
-def test_leader_that_may_have_been_replaced_grants_nothing():
+def test_leader_without_a_valid_lease_grants_nothing():
     assert count_granted(build_exchange(), 10.0, 40, may_grant=False) == 0
 
 
-def test_leader_begins_with_limits_used_up():
+def test_new_leader_starts_with_limits_used_up():
     exchange = build_exchange()
     exchange.start_term(10.0)
     assert exchange.budget.compute_wait(UPSTREAM, 10.0) == 1.0
 
 
-def test_what_is_new_is_told_once_and_to_all():
+def test_changed_limit_is_published_once_to_all_fronts():
     exchange = build_exchange()
-    told = exchange.send_due(1.0, is_leader=True)
-    news = [one.message for one in told if isinstance(one.message, LimitNews)]
-    places = [one.message for one in told if isinstance(one.message, FrontPlace)]
-    assert news == [LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
-    # The same object: a message to all is encoded once.
-    assert len({id(one) for one in news}) == 1
-    assert places == [FrontPlace(4, number) for number in range(4)]
+    sent = exchange.send_due(1.0, is_leader=True)
+    updates = [one.message for one in sent if isinstance(one.message, LimitNews)]
+    positions = [one.message for one in sent if isinstance(one.message, FrontPlace)]
+    assert updates == [LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
+    # One object for all fronts, so that it is encoded once.
+    assert len({id(one) for one in updates}) == 1
+    assert positions == [FrontPlace(4, number) for number in range(4)]
     assert exchange.send_due(2.0, is_leader=True) == []
     exchange.receive(FRONTS[1], [HeardLimit(UPSTREAM, 1.0, 1)], 2.0)
     assert exchange.send_due(3.0, is_leader=True) == []
@@ -68,22 +68,22 @@
     assert exchange.send_due(3.0 - UPDATE_PERIOD_S, is_leader=True) != []
 
 
-def test_fronts_that_were_lost_keep_their_place_among_the_others():
+def test_lost_front_still_counts_in_positions():
     exchange = build_exchange()
     exchange.send_due(1.0, is_leader=True)
     exchange.remove_front(FRONTS[1], 2.0)
-    told = exchange.send_due(3.0, is_leader=True)
-    assert [one.message for one in told] == [FrontPlace(4, n) for n in range(3)]
+    sent = exchange.send_due(3.0, is_leader=True)
+    assert [one.message for one in sent] == [FrontPlace(4, n) for n in range(3)]
 
 
-def test_front_that_is_linked_is_told_all_limits():
+def test_newly_linked_front_receives_all_limits():
     exchange = build_exchange()
-    (greeting,) = exchange.send_all(FRONTS[2])
-    assert greeting.message == LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])
+    (snapshot,) = exchange.send_all(FRONTS[2])
+    assert snapshot.message == LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])
     assert LimitExchange().send_all(FRONTS[2]) == []
 
 
-def test_new_leader_takes_the_latest_word():
+def test_new_leader_merges_latest_revision():
     exchange = LimitExchange()
     exchange.add_front(FRONTS[0], 0.0)
     exchange.merge(FRONTS[0], [RequestLimit(UPSTREAM, 4.0, 2)], 0.0)
--- a/tests/unit/gateway/test_limit_sums.py
+++ b/tests/unit/gateway/test_limit_sums.py
@@ -1,8 +1,7 @@
-"""Fronts, leaders and time at random: what upstreams get stays within what they take.
+"""Random changes of leaders, fronts and limits: upstreams get no more than they take.
 
-A state machine over one leader after another, fronts that are started, cut off and
-linked again, and upstreams whose limits begin, halve, double, end and come again. What
-is checked is the sum over all fronts that know a limit, in every window.
+Leaders are replaced, fronts started, disconnected and relinked, and limits set, scaled
+and ended. In every window, the sum over all fronts that know a limit is checked.
 """
 
 import itertools
@@ -19,24 +18,24 @@
 
 FRONTS = 4
 ENGINES = 3
-WINDOW = 4.0
+WINDOW_S = 4.0
 
-LEARNING = 1.0
-"""Seconds after a change of a limit in which nothing is counted by the new one."""
+LEARNING_S = 1.0
+"""Seconds after a change of a limit before it is enforced."""
 
-STEP = 0.05
-ANSWER_TIME = 0.1
-MOST_FRONTS = 7
+STEP_S = 0.05
+RESPONSE_TIME_S = 0.1
+MAX_FRONTS = 7
 
-PAUSES = (0.2, 1.0, 4.0)
+PAUSES_S = (0.2, 1.0, 4.0)
 LOADS = (2, 15, 40)
-"""Seconds between two things that happen, and requests a second meanwhile."""
+"""Seconds between two events, and requests a second meanwhile."""
 
 RATES = st.sampled_from([0.3, 1.0, 2.5, 8.0])
 
 
-class _Said(msgspec.Struct):
-    """What one engine said of itself, and what it got from fronts that knew it."""
+class _EngineLimits(msgspec.Struct):
+    """Limits that one engine named, and requests from fronts that knew them."""
 
     rates: list = msgspec.field(default_factory=lambda: [(0.0, UNLIMITED)])
     sent: list = msgspec.field(default_factory=list)
@@ -46,7 +45,7 @@
         return self.rates[-1][1]
 
     def list_rates(self, begin, end):
-        """All rates that were in force at any time between."""
+        """All rates in force at any time between ``begin`` and ``end``."""
         following = [at for at, _ in self.rates[1:]] + [float("inf")]
         return [
             rate
@@ -55,98 +54,100 @@
         ]
 
     def find_excess(self):
-        """Requests in a window beyond what is tolerated, at most."""
+        """Largest number of requests beyond the tolerance in any window."""
         worst = 0.0
         for begin in self.sent:
-            rates = self.list_rates(begin - LEARNING, begin + WINDOW)
-            allowed = 1.5 * max(rates) * WINDOW + 5
-            got = sum(begin <= at < begin + WINDOW for at in self.sent)
+            rates = self.list_rates(begin - LEARNING_S, begin + WINDOW_S)
+            allowed = 1.5 * max(rates) * WINDOW_S + 5
+            got = sum(begin <= at < begin + WINDOW_S for at in self.sent)
             worst = max(worst, got - allowed)
         return worst
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """See the module."""
+    """Requests under random changes of leaders, fronts and limits."""
 
     def __init__(self):
         super().__init__()
         self.deployment = build_deployment(FRONTS, ENGINES, has_engines=True)
-        self.chance = random.Random(1)
-        self.said = {one.upstream: _Said() for one in self.deployment.endpoints}
-        self.answers = []
+        self.chooser = random.Random(1)
+        self.engines = {
+            one.upstream: _EngineLimits() for one in self.deployment.endpoints
+        }
+        self.responses = []
         self.jobs = itertools.count(1)
         self.renewed_at = 0.0
-        self.cut = set()
+        self.disconnected = set()
 
-    # What happens
+    # Events
 
     @invariant()
-    def callers_go_on(self):
-        self.load(self.chance.choice(PAUSES), self.chance.choice(LOADS))
+    def callers_keep_sending(self):
+        self.load(self.chooser.choice(PAUSES_S), self.chooser.choice(LOADS))
 
-    @rule(seconds=st.sampled_from(PAUSES), rate=st.sampled_from(LOADS))
+    @rule(seconds=st.sampled_from(PAUSES_S), rate=st.sampled_from(LOADS))
     def load(self, seconds, rate):
-        for _ in range(round(seconds / STEP)):
-            self.deployment.run(STEP)
+        for _ in range(round(seconds / STEP_S)):
+            self.deployment.run(STEP_S)
             self.keep_registered()
-            self.answer()
-            for _ in range(self.draw_arrivals(rate * STEP)):
+            self.deliver_responses()
+            for _ in range(self.draw_arrivals(rate * STEP_S)):
                 self.send()
 
     @rule(number=st.integers(0, ENGINES - 1), rate=RATES)
-    def name_limit(self, number, rate):
-        self.say(number, rate)
+    def set_limit(self, number, rate):
+        self.change_rate(number, rate)
 
     @rule(number=st.integers(0, ENGINES - 1))
     def end_limit(self, number):
-        self.say(number, UNLIMITED)
+        self.change_rate(number, UNLIMITED)
 
     @rule(number=st.integers(0, ENGINES - 1), factor=st.sampled_from([0.5, 2.0]))
     def scale_limit(self, number, factor):
-        rate = self.said[self.deployment.endpoints[number].upstream].rate
+        rate = self.engines[self.deployment.endpoints[number].upstream].rate
         if rate < UNLIMITED:
-            self.say(number, rate * factor)
+            self.change_rate(number, rate * factor)
 
     @rule(seconds=st.sampled_from([0.0, 1.0, 5.0]))
     def change_leader(self, seconds):
         self.deployment.lose_leader()
         self.load(seconds, 15)
         self.deployment.replace_leader()
-        self.cut.clear()
+        self.disconnected.clear()
 
     @rule(number=st.integers(0, FRONTS - 1), is_noticed=st.booleans())
     def cut_front(self, number, is_noticed):
-        if number not in self.cut:
-            self.cut.add(number)
+        if number not in self.disconnected:
+            self.disconnected.add(number)
             self.deployment.cut_front(number, is_noticed=is_noticed)
 
     @rule()
-    def link_again(self):
+    def relink_fronts(self):
         deployment = self.deployment
-        for number in sorted(self.cut):
+        for number in sorted(self.disconnected):
             deployment.link_front(number)
-        self.cut.clear()
+        self.disconnected.clear()
 
     @rule()
     def start_front(self):
-        if len(self.deployment.fronts) < MOST_FRONTS:
+        if len(self.deployment.fronts) < MAX_FRONTS:
             self.deployment.add_front(len(self.deployment.fronts))
 
-    # What is kept
+    # Invariants
 
     @invariant()
-    def sums_are_kept(self):
-        for upstream, said in self.said.items():
-            assert said.find_excess() <= 0, (upstream, said.rates, said.sent)
+    def sums_stay_within_limits(self):
+        for upstream, engine in self.engines.items():
+            assert engine.find_excess() <= 0, (upstream, engine.rates, engine.sent)
 
-    # How
+    # Helpers
 
-    def say(self, number, rate):
-        said = self.said[self.deployment.endpoints[number].upstream]
-        said.rates.append((self.deployment.now, rate))
+    def change_rate(self, number, rate):
+        engine = self.engines[self.deployment.endpoints[number].upstream]
+        engine.rates.append((self.deployment.now, rate))
 
     def draw_arrivals(self, mean):
-        return sum(self.chance.random() < mean / 4 for _ in range(4))
+        return sum(self.chooser.random() < mean / 4 for _ in range(4))
 
     def keep_registered(self):
         if self.deployment.now - self.renewed_at >= 1.0:
@@ -155,27 +156,27 @@
 
     def send(self):
         now = self.deployment.now
-        front = self.chance.choice(self.deployment.fronts)
+        front = self.chooser.choice(self.deployment.fronts)
         work = build_quick(next(self.jobs), remaining=1.0)
-        placed = self.deployment.place(front, work)
-        if not isinstance(placed, Placement):
+        placement = self.deployment.place(front, work)
+        if not isinstance(placement, Placement):
             return
-        known = front.limits.get(placed.upstream)
-        at = now + placed.start_in
+        known = front.limits.get(placement.upstream)
+        at = now + placement.start_in
         if known.rate < UNLIMITED:
-            self.said[placed.upstream].sent.append(at)
-        heard_at = at + ANSWER_TIME
-        self.answers.append((heard_at, front, work.job, placed.upstream, known))
+            self.engines[placement.upstream].sent.append(at)
+        received_at = at + RESPONSE_TIME_S
+        self.responses.append((received_at, front, work.job, placement.upstream, known))
 
-    def answer(self):
+    def deliver_responses(self):
         now = self.deployment.now
-        due = [one for one in self.answers if one[0] <= now]
-        self.answers = [one for one in self.answers if one[0] > now]
+        due = [one for one in self.responses if one[0] <= now]
+        self.responses = [one for one in self.responses if one[0] > now]
         for _, front, job, upstream, known in due:
-            rate = self.said[upstream].rate
-            heard = HeardLimit(upstream, rate, known.revision)
+            rate = self.engines[upstream].rate
+            reported = HeardLimit(upstream, rate, known.revision)
             self.deployment.note_stage(front, job, is_ended=True)
-            self.deployment.hear_limit(front, heard)
+            self.deployment.hear_limit(front, reported)
 
 
 TestLimitSums = LimitMachine.TestCase
--- a/tests/unit/gateway/test_outlier_detector.py
+++ b/tests/unit/gateway/test_outlier_detector.py
@@ -1,9 +1,7 @@
-"""A replica that fails what it is sent, behind hundreds of fronts that see it seldom.
+"""Ejection of a replica that fails all requests, behind hundreds of fronts.
 
-The pattern: a plain service gets 15 calls a second over 195 fronts, so each front calls
-one of its five replicas every minute. One replica fails all for 7.5 s: alone, each
-front had to lose a request there before it knew, 12 of 70 calls that must not be sent
-twice, and 120 attempts in all.
+Each front alone calls the replica too seldom to notice its failures; this guards
+against losing one non-idempotent call for each front.
 """
 
 import random
@@ -22,15 +20,15 @@
 from tests.lib.gateway_builders import SERVICE
 from tests.lib.gateway_group import build_deployment
 
-BAD, GOOD = UpstreamId("i-1"), UpstreamId("i-2")
+FAILING, HEALTHY = UpstreamId("i-1"), UpstreamId("i-2")
 
 
-def fail(detector, upstream=BAD, *, count=1, usable=5, now=0.0, service=SERVICE):
+def fail(detector, upstream=FAILING, *, count=1, usable=5, now=0.0, service=SERVICE):
     for _ in range(count):
         detector.record(UpstreamOutcomes(upstream, 0, 1), service, usable, now)
 
 
-def answer(detector, upstream=BAD, *, count=1, usable=5, now=0.0):
+def succeed(detector, upstream=FAILING, *, count=1, usable=5, now=0.0):
     detector.record(UpstreamOutcomes(upstream, count, 0), SERVICE, usable, now)
 
 
@@ -38,32 +36,32 @@
     return [one.upstream for one in detector.list_ejections(now)]
 
 
-def test_three_failures_over_all_fronts_eject():
+def test_three_failures_over_all_fronts_lead_to_ejection():
     detector = OutlierDetector()
     fail(detector, count=2)
     assert list_ejected(detector) == []
     fail(detector)
-    assert list_ejected(detector) == [BAD]
+    assert list_ejected(detector) == [FAILING]
 
 
-def test_replica_that_mostly_answers_stays():
+def test_mostly_successful_replica_is_not_ejected():
     detector = OutlierDetector()
     for tenth in range(100):
         now = tenth / 10
-        answer(detector, count=2, now=now)
+        succeed(detector, count=2, now=now)
         if tenth % 5 == 0:
             fail(detector, now=now)
         assert list_ejected(detector, now) == []
 
 
-def test_old_failures_count_no_more():
+def test_old_failures_do_not_count():
     detector = OutlierDetector()
     for second in range(0, 40, 4):
         fail(detector, now=float(second))
         assert list_ejected(detector, float(second)) == []
 
 
-def test_one_that_fails_again_is_left_out_for_longer():
+def test_repeated_failures_lengthen_the_ejection():
     detector = OutlierDetector()
     now, lengths = 0.0, []
     for _ in range(4):
@@ -75,7 +73,7 @@
     assert lengths == [FIRST_EJECTION_S, 4.0, MAX_EJECTION_S, MAX_EJECTION_S]
 
 
-def test_one_that_answers_again_starts_over():
+def test_record_expires_without_failures():
     detector = OutlierDetector()
     fail(detector, count=3)
     detector.expire(RESET_AFTER_S)
@@ -85,21 +83,21 @@
 
 
 @pytest.mark.parametrize(("usable", "most"), [(1, 0), (2, 1), (5, 1), (30, 10)])
-def test_most_of_a_service_is_never_left_out(usable, most):
+def test_ejections_of_a_service_are_limited(usable, most):
     detector = OutlierDetector()
     for number in range(usable):
         fail(detector, UpstreamId(f"i-{number}"), count=3, usable=usable)
     assert len(list_ejected(detector)) == most
 
 
-def test_services_are_counted_apart():
+def test_services_are_counted_separately():
     detector = OutlierDetector()
-    fail(detector, BAD, count=3)
-    fail(detector, GOOD, count=3, service=ServiceName("orders"))
+    fail(detector, FAILING, count=3)
+    fail(detector, HEALTHY, count=3, service=ServiceName("orders"))
     assert len(list_ejected(detector)) == 2
 
 
-# The whole path: fronts tell, the leader finds out, fronts avoid
+# End to end: fronts report outcomes, the leader ejects, fronts avoid the replica
 
 
 @pytest.fixture
@@ -107,29 +105,29 @@
     return build_deployment(fronts=195, replicas=5)
 
 
-def test_hundreds_of_fronts_learn_of_a_failing_replica_from_each_other(deployment):
-    chance = random.Random(4)
-    bad = deployment.endpoints[0].upstream
+def test_fronts_share_the_outcomes_at_a_failing_replica(deployment):
+    chooser = random.Random(4)
+    failing = deployment.endpoints[0].upstream
     lost = 0
     for _ in range(int(7.5 * 15)):
         deployment.run(1 / 15)
-        front = chance.choice(deployment.fronts)
-        chosen = deployment.choose_service(front, chance)
-        front.note_outcome(chosen, has_failed=chosen == bad)
-        lost += chosen == bad
-    # Three to find out, and those under way meanwhile; without a word among the
-    # fronts it would be one in five of 112.
+        front = chooser.choice(deployment.fronts)
+        chosen = deployment.choose_service(front, chooser)
+        front.note_outcome(chosen, has_failed=chosen == failing)
+        lost += chosen == failing
+    # Three failures lead to the ejection, and some more happen meanwhile; if fronts did
+    # not report, it would be one in five of 112 calls.
     assert 3 <= lost <= 12
 
 
-def test_new_front_and_new_leader_know_what_is_ejected(deployment):
+def test_new_front_receives_ejections_and_their_end(deployment):
     leader = deployment.leader
     seen = OutcomesSeen([UpstreamOutcomes(deployment.endpoints[0].upstream, 0, 3)])
-    told = leader.handle_front(deployment.names[0], seen, deployment.now)
-    assert [a.message for a in told if isinstance(a.message, EjectedUpstreams)]
-    late = leader.add_front("front-late", deployment.now)
-    (news,) = [a.message for a in late if isinstance(a.message, EjectedUpstreams)]
-    assert news.upstreams == [deployment.endpoints[0].upstream]
+    sent = leader.handle_front(deployment.names[0], seen, deployment.now)
+    assert [a.message for a in sent if isinstance(a.message, EjectedUpstreams)]
+    greeted = leader.add_front("front-late", deployment.now)
+    (update,) = [a.message for a in greeted if isinstance(a.message, EjectedUpstreams)]
+    assert update.upstreams == [deployment.endpoints[0].upstream]
     ended = [
         action.message
         for action in deployment.run(FIRST_EJECTION_S + 0.1)
@@ -138,12 +136,12 @@
     assert ended[-1].upstreams == []
 
 
-def test_front_believes_nobody_but_its_leader(deployment):
+def test_front_accepts_ejections_only_from_its_leader(deployment):
     front = deployment.fronts[0]
-    bad = deployment.endpoints[0].upstream
-    front.handle("10.9.9.9:7000", EjectedUpstreams([bad]), deployment.now)
+    failing = deployment.endpoints[0].upstream
+    front.handle("10.9.9.9:7000", EjectedUpstreams([failing]), deployment.now)
     chosen = {deployment.choose_service(front, random.Random(n)) for n in range(40)}
-    assert bad in chosen
-    front.handle(deployment.leader.me, EjectedUpstreams([bad]), deployment.now)
+    assert failing in chosen
+    front.handle(deployment.leader.me, EjectedUpstreams([failing]), deployment.now)
     chosen = {deployment.choose_service(front, random.Random(n)) for n in range(40)}
-    assert bad not in chosen
+    assert failing not in chosen
--- a/tests/unit/gateway/test_retry_window.py
+++ b/tests/unit/gateway/test_retry_window.py
@@ -3,7 +3,7 @@
 from scalebend.core.gateway.retry_window import RetryWindow
 from tests.lib.gateway_builders import SERVICE
 
-RATIO, SLACK, WINDOW = 0.2, 106.0, 10.0
+RATIO, ALLOWANCE, WINDOW = 0.2, 106.0, 10.0
 
 EVENTS = st.lists(
     st.tuples(st.integers(0, 8), st.floats(0, 30), st.booleans()), max_size=600
@@ -12,7 +12,7 @@
 
 @given(EVENTS)
 def test_all_fronts_together_stay_within_the_budget(events):
-    fronts = [RetryWindow(RATIO, SLACK, WINDOW) for _ in range(9)]
+    fronts = [RetryWindow(RATIO, ALLOWANCE, WINDOW) for _ in range(9)]
     requests, retries = [], []
     for front in fronts:
         front.update_front_count(9, -10.0)
@@ -25,7 +25,7 @@
     for end in retries:
         spent = sum(end - WINDOW < at <= end for at in retries)
         earned = sum(end - WINDOW < at <= end for at in requests)
-        assert spent <= RATIO * earned + SLACK
+        assert spent <= RATIO * earned + ALLOWANCE
 
 
 def test_window_slides():
@@ -37,7 +37,7 @@
     assert window.spend(SERVICE, 10.1)
 
 
-def test_services_have_budgets_of_their_own():
+def test_services_have_separate_budgets():
     window = RetryWindow(0.0, 2.0, WINDOW)
     window.update_front_count(1, -10.0)
     assert window.spend(SERVICE, 0.0)
@@ -45,14 +45,14 @@
     assert window.spend("other", 0.0)
 
 
-def test_control_instance_that_just_started_does_not_raise_the_part():
+def test_low_front_count_of_a_new_control_instance_is_ignored():
     window = RetryWindow(0.0, 90.0, WINDOW)
     window.update_front_count(9, 0.0)
     window.update_front_count(1, 5.0)
     assert sum(window.spend(SERVICE, 6.0) for _ in range(90)) == 7
 
 
-def test_front_that_just_started_uses_no_fixed_part_yet():
+def test_new_front_does_not_use_the_allowance_yet():
     window = RetryWindow(0.0, 90.0, WINDOW)
     assert not window.spend(SERVICE, 0.0)
     window.update_front_count(1, 1.0)
@@ -60,7 +60,7 @@
     assert window.spend(SERVICE, 3.5)
 
 
-def test_fewer_fronts_are_believed_in_time():
+def test_lower_front_count_applies_after_a_while():
     window = RetryWindow(0.0, 90.0, WINDOW)
     window.update_front_count(9, 0.0)
     window.update_front_count(3, 31.0)
--- a/tests/unit/gateway/test_silent_ends.py
+++ b/tests/unit/gateway/test_silent_ends.py
@@ -1,7 +1,7 @@
-"""Requests that end replicas without a word: their connections fall silent.
+"""Suspect requests of replicas that crash without closing their connections.
 
-A machine that loses power resets nothing. That it has ended is known only when it
-registers no more, or another one takes its address.
+A host that loses power closes no connections, so its crash is known only when it stops
+registering, or another replica takes its address.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from tests.lib.front import answer_sealed, run_front, serve
 from tests.lib.gateway_builders import build_endpoint, build_route, build_routing
 
-WAIT = 0.2
+TIMEOUT_S = 0.2
 
 
 async def hang(request):
     await asyncio.Event().wait()
 
 
-def tell(front, *news):
+def apply_changes(front, *news):
     runtime = front.runtime
     actions = runtime.instance.handle(
         "control", EndpointChanges([*news]), runtime.now()
@@ -35,71 +35,73 @@
 
 
 async def send(front, status):
-    async with front.call(wait=WAIT) as answer:
-        await answer.read()
-    assert answer.status == status
+    async with front.call(wait=TIMEOUT_S) as response:
+        await response.read()
+    assert response.status == status
 
 
-async def end_silently(front, silent, count, is_draining=False):
+async def crash_silently(front, hanging, count, is_draining=False):
     for number in range(1, count + 1):
-        endpoint = front.add(number, silent)
+        endpoint = front.add(number, hanging)
         await send(front, 504)
-        gone = build_endpoint(number, address=silent, is_draining=is_draining)
-        tell(front, EndpointNews(gone, is_gone=True))
+        gone = build_endpoint(number, address=hanging, is_draining=is_draining)
+        apply_changes(front, EndpointNews(gone, is_gone=True))
         assert front.runtime.instance.directory.get(endpoint.upstream) is None
 
 
-async def test_replicas_that_fall_silent_under_a_request_count_once_they_are_gone():
-    async with run_plain_front() as front, serve(hang) as silent:
-        await end_silently(front, silent, MOST_ENDED)
-        front.add(9, silent)
+async def test_unresponsive_replicas_count_as_crashed_once_gone():
+    async with run_plain_front() as front, serve(hang) as hanging:
+        await crash_silently(front, hanging, MOST_ENDED)
+        front.add(9, hanging)
         await send(front, 503)
 
 
-async def test_replica_that_another_took_the_address_of_counts():
-    async with run_plain_front() as front, serve(hang) as silent:
+async def test_replica_whose_address_was_taken_counts_as_crashed():
+    async with run_plain_front() as front, serve(hang) as hanging:
         for number in range(1, MOST_ENDED + 1):
-            front.add(number, silent)
+            front.add(number, hanging)
             await send(front, 504)
-            tell(front, EndpointNews(build_endpoint(number + 1, address=silent), False))
+            apply_changes(
+                front, EndpointNews(build_endpoint(number + 1, address=hanging), False)
+            )
         await send(front, 503)
 
 
-async def test_replica_that_left_as_planned_does_not_count():
-    async with run_plain_front() as front, serve(hang) as silent:
-        await end_silently(front, silent, MOST_ENDED, is_draining=True)
-        front.add(9, silent)
+async def test_drained_replica_does_not_count_as_crashed():
+    async with run_plain_front() as front, serve(hang) as hanging:
+        await crash_silently(front, hanging, MOST_ENDED, is_draining=True)
+        front.add(9, hanging)
         await send(front, 504)
 
 
-async def test_silence_of_a_replica_that_stays_does_not_count():
-    async with run_plain_front() as front, serve(hang) as silent:
-        front.add(1, silent)
+async def test_timeouts_at_a_registered_replica_do_not_count():
+    async with run_plain_front() as front, serve(hang) as hanging:
+        front.add(1, hanging)
         for _ in range(MOST_ENDED + 1):
             await send(front, 504)
 
 
-async def test_request_that_was_answered_elsewhere_is_not_blamed_later():
+async def test_request_that_succeeded_elsewhere_is_no_suspect():
     async with (
         run_plain_front() as front,
-        serve(hang) as silent,
-        serve(answer_sealed) as good,
+        serve(hang) as hanging,
+        serve(answer_sealed) as healthy,
     ):
         for number in range(1, MOST_ENDED + 1):
-            front.add(number, silent)
+            front.add(number, hanging)
             await send(front, 504)
         names = [build_endpoint(n).upstream for n in range(1, MOST_ENDED + 1)]
         for name in names:
             front.runtime.instance.directory.remove(name, front.runtime.now())
-        front.add(9, good)
+        front.add(9, healthy)
         await send(front, 200)
         for number in range(1, MOST_ENDED + 1):
-            gone = build_endpoint(number, address=silent)
-            tell(front, EndpointNews(gone, is_gone=True))
+            gone = build_endpoint(number, address=hanging)
+            apply_changes(front, EndpointNews(gone, is_gone=True))
         await send(front, 200)
 
 
-def test_replica_that_ends_long_after_an_attempt_is_no_sign_against_it():
+def test_attempts_long_before_a_crash_are_no_suspects():
     attempts = UnansweredAttempts()
     early, late = Fingerprint("early"), Fingerprint("late")
     name = build_endpoint(1).upstream
--- a/tests/unit/test_send_budget.py
+++ b/tests/unit/test_send_budget.py
@@ -1,4 +1,4 @@
-"""What is granted of a limit, in any window, whatever is asked."""
+"""Send permits within a rate limit, in any window and for any requests."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -18,8 +18,8 @@
 UPSTREAM = UpstreamId("i-1")
 OTHER = UpstreamId("i-2")
 
-PAUSES = st.lists(st.sampled_from([0.0, 0.01, 0.1, 0.9, 3.0]), max_size=120)
-RATES = st.sampled_from([0.2, 1.0, 3.0, 40.0])
+PAUSES_S = st.lists(st.sampled_from([0.0, 0.01, 0.1, 0.9, 3.0]), max_size=120)
+RATES_PER_S = st.sampled_from([0.2, 1.0, 3.0, 40.0])
 
 
 def build_budget(rate, share):
@@ -28,9 +28,9 @@
     return limits, SendBudget(limits, share)
 
 
-def take(budget, now, patience=0.0):
-    """When a request may be sent, if it may be."""
-    upstream, wait = budget.grant([UPSTREAM], patience, now)
+def take_permit(budget, now, max_wait=0.0):
+    """Return the send time of a request, or ``None``."""
+    upstream, wait = budget.grant([UPSTREAM], max_wait, now)
     return now + wait if upstream is not None else None
 
 
@@ -40,39 +40,39 @@
     )
 
 
-def ask(budgets, pauses, patience=0.0):
-    """Ask one budget after the other; return when was sent."""
+def request_permits(budgets, pauses, max_wait=0.0):
+    """Request permits from the budgets in rotation; return the send times."""
     now = 0.0
     times = []
     for number, pause in enumerate(pauses):
         now += pause
-        at = take(budgets[number % len(budgets)], now, patience)
+        at = take_permit(budgets[number % len(budgets)], now, max_wait)
         times += [at] if at is not None else []
     return times
 
 
-@given(PAUSES, RATES, st.sampled_from([0.25, 1.0]), st.sampled_from([0.0, 0.2]))
-def test_leader_never_grants_more_than_its_part(pauses, rate, part, patience):
-    _, budget = build_budget(rate, LeaderShare(part))
+@given(PAUSES_S, RATES_PER_S, st.sampled_from([0.25, 1.0]), st.sampled_from([0.0, 0.2]))
+def test_leader_never_grants_more_than_its_share(pauses, rate, share, max_wait):
+    _, budget = build_budget(rate, LeaderShare(share))
     budget.refresh(0.0)
-    times = ask([budget], pauses, patience)
-    burst = max(BURST_S, 1.0 / (rate * part))
+    times = request_permits([budget], pauses, max_wait)
+    burst = max(BURST_S, 1.0 / (rate * share))
     for window in (1.0, 4.0):
-        most = 1.0 + rate * part * (window + burst)
+        most = 1.0 + rate * share * (window + burst)
         assert count_most(times, window) <= most + 1e-6
 
 
-@given(PAUSES, RATES, st.integers(1, 7))
-def test_fronts_that_take_turns_do_not_exceed_the_limit_together(pauses, rate, fronts):
-    turns = [UncoordinatedShare(fronts, number, 0.0) for number in range(fronts)]
-    budgets = [build_budget(rate, turn)[1] for turn in turns]
-    times = ask(budgets, pauses)
+@given(PAUSES_S, RATES_PER_S, st.integers(1, 7))
+def test_uncoordinated_fronts_stay_within_the_limit_together(pauses, rate, fronts):
+    shares = [UncoordinatedShare(fronts, number, 0.0) for number in range(fronts)]
+    budgets = [build_budget(rate, share)[1] for share in shares]
+    times = request_permits(budgets, pauses)
     life = max(PERMIT_LIFE_S, 1.0 / rate)
     for window in (1.0, 4.0):
         assert count_most(times, window) <= 1.0 + rate * (window + life) + 1e-6
 
 
-def test_nothing_may_be_sent_at_first():
+def test_no_permit_is_free_at_the_start():
     for share in (LeaderShare(1.0), UncoordinatedShare(1, 0, 5.0)):
         _, budget = build_budget(2.0, share)
         budget.refresh(5.0)
@@ -81,20 +81,20 @@
         assert budget.compute_wait(OTHER, 5.0) == 0.0
 
 
-def test_part_that_shrinks_and_grows():
+def test_share_that_shrinks_and_grows():
     _, budget = build_budget(1.0, LeaderShare(1.0))
     budget.refresh(0.0)
     budget.set_share(LeaderShare(0.25), 10.0)
-    times = ask([budget], [10.0, *[0.1] * 400])
+    times = request_permits([budget], [10.0, *[0.1] * 400])
     assert 10 <= len(times) <= 0.25 * 40 + 2
     budget.set_share(LeaderShare(1.0), 60.0)
-    assert len(ask([budget], [60.0, *[0.1] * 100])) >= 10
+    assert len(request_permits([budget], [60.0, *[0.1] * 100])) >= 10
 
 
-def test_limit_that_changes_keeps_what_was_sent_in_mind():
+def test_changed_limit_still_counts_recent_sends():
     limits, budget = build_budget(1.0, LeaderShare(1.0))
     budget.refresh(0.0)
-    while take(budget, 10.0) is not None:
+    while take_permit(budget, 10.0) is not None:
         pass
     limits.apply(HeardLimit(UPSTREAM, 0.5, 1))
     assert budget.compute_wait(UPSTREAM, 10.0) == pytest.approx(2.0)
@@ -104,7 +104,7 @@
     assert budget.compute_wait(UPSTREAM, 10.0) == 0.0
 
 
-def test_request_that_is_not_sent_gives_its_place_back():
+def test_refund_returns_the_permit():
     for share in (LeaderShare(1.0), UncoordinatedShare(1, 0, 0.0)):
         _, budget = build_budget(1.0, share)
         budget.refresh(0.0)
@@ -115,13 +115,13 @@
         assert budget.compute_wait(UPSTREAM, 1.0) == pytest.approx(before)
 
 
-def test_upstream_that_takes_nothing_gets_a_question_now_and_then():
+def test_upstream_with_zero_limit_gets_occasional_requests():
     _, budget = build_budget(0.0, LeaderShare(1.0))
     budget.refresh(0.0)
     assert budget.compute_wait(UPSTREAM, 0.0) == pytest.approx(1.0 / MIN_RATE_PER_S)
 
 
-def test_first_that_has_room_is_taken():
+def test_first_free_permit_is_taken():
     limits, budget = build_budget(1.0, LeaderShare(1.0))
     limits.apply(HeardLimit(OTHER, 2.0, 0))
     budget.refresh(0.0)
