--- a/src/scalebend/core/send_budget.py
+++ b/src/scalebend/core/send_budget.py
@@ -105,7 +105,7 @@
         self.next -= 1
 
     def _count(self, now: float) -> int:
-        """Number of the newest valid permit; negative before the first."""
+        """Number of the permit that became valid last; negative before the first."""
         return math.floor((now - self.first) / self.period)
 
 
