--- a/src/scalebend/core/gateway/event_cursor.py
+++ b/src/scalebend/core/gateway/event_cursor.py
@@ -1,8 +1,7 @@
-"""Cuts a stream at event borders, so that another replica can go on after a break.
+"""Splits a stream into events, so that another replica can resume it after a failure.
 
-Whole events pass as the bytes they came as. What comes of an unfinished event is
-dropped when its connection breaks, and events that were passed before are dropped
-when a replica repeats them.
+Complete events are forwarded byte for byte. An incomplete event is dropped when its
+connection breaks, and so are events that a replica repeats.
 """
 
 from __future__ import annotations
@@ -11,26 +10,26 @@
 
 import msgspec
 
-_BORDER = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
 
-MOST_PENDING = 1024 * 1024
-"""Bytes of one unfinished event; more is no event."""
+MAX_EVENT_BYTES = 1024 * 1024
+"""Largest incomplete event; a longer one is an error."""
 
 
 class GarbledEventsError(Exception):
     """The bytes are not a stream of numbered events."""
 
 
-class Passed(msgspec.Struct, frozen=True):
-    """Bytes that may be passed on, and how many events they are."""
+class ForwardableEvents(msgspec.Struct, frozen=True):
+    """Bytes of complete events that may be forwarded, and the number of events."""
 
     data: bytes
     events: int
 
 
 class EventCursor:
-    """Position in one answer, over any number of replicas."""
+    """Position in one response stream, over any number of replicas."""
 
     def __init__(self, last_event: int | None = None) -> None:
         self.last_event = last_event
@@ -38,32 +37,35 @@
 
     @property
     def has_partial(self) -> bool:
-        """Whether bytes of an unfinished event are held."""
+        """Whether bytes of an incomplete event are buffered."""
         return bool(self._pending)
 
     def restart(self) -> None:
-        """Another replica goes on: forget the unfinished event."""
+        """Drop the incomplete event, before another replica resumes the stream."""
         self._pending = b""
 
-    def feed(self, data: bytes) -> Passed:
-        """Take bytes; return the whole events in them that are new."""
+    def feed(self, data: bytes) -> ForwardableEvents:
+        """Add bytes; return the new events that are complete.
+
+        Raises :class:`GarbledEventsError` if an event is too long.
+        """
         data = self._pending + data
-        passed = []
+        accepted = []
         start = 0
-        for border in _BORDER.finditer(data):
-            event = data[start : border.end()]
-            start = border.end()
+        for event_end in _EVENT_END.finditer(data):
+            event = data[start : event_end.end()]
+            start = event_end.end()
             if self._accept(event):
-                passed.append(event)
+                accepted.append(event)
         self._pending = data[start:]
-        if len(self._pending) > MOST_PENDING:
-            raise GarbledEventsError("an event is too long")
-        return Passed(b"".join(passed), len(passed))
+        if len(self._pending) > MAX_EVENT_BYTES:
+            raise GarbledEventsError("an event exceeds the size limit")
+        return ForwardableEvents(b"".join(accepted), len(accepted))
 
     def _accept(self, event: bytes) -> bool:
-        found = _ID.search(event)
+        found = _EVENT_ID.search(event)
         if found is None:
-            # A comment or a mark without a number belongs where it stands.
+            # Comments and events without an id are forwarded in place.
             return True
         number = int(found[1])
         if self.last_event is not None and number <= self.last_event:
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -1,4 +1,4 @@
-"""What a front believes: routing document, lease, upstreams, leader, and open jobs."""
+"""State of a front: routing document, lease, upstreams, leader and open jobs."""
 
 from __future__ import annotations
 
@@ -68,24 +68,22 @@
 
 logger = structlog.get_logger(__name__)
 
-LEASE_PERIOD = 0.4
-"""Seconds between two questions for the lease, far below the bound on revocation so
-that several may be lost."""
+LEASE_REQUEST_INTERVAL_S = 0.4
+"""Far below the bound on revocation, so that several requests may be lost."""
 
-OUTCOMES_PERIOD = 0.2
-"""Seconds between two reports of what became of attempts, if there were any: five
-messages a second of a busy front, whatever its load."""
+OUTCOME_REPORT_INTERVAL_S = 0.2
+"""Interval of the reports of attempt outcomes, which bounds their rate under load."""
 
-TIDY_PERIOD = 0.5
-"""Seconds between two searches for jobs and replicas that are to be forgotten."""
+EXPIRY_INTERVAL_S = 0.5
+"""Interval at which expired jobs, replicas and crash records are removed."""
 
-SILENCE_LIMIT = 3600.0
-"""A front hears from control instances which upstreams fell silent."""
+ENDPOINT_TIMEOUT_S = 3600.0
+"""Long, because control instances tell fronts which upstreams are unresponsive."""
 
-LEADER_PATIENCE = 1.0
-"""Seconds without a word of a leader after which a front wants no new connections, and
-closes those that callers keep: two heartbeats, and longer than most elections. When no
-front is ready all of them are used."""
+LEADER_TIMEOUT_S = 1.0
+"""Without a message from the leader for this long, a front isn't ready and asks callers
+to close persistent connections: two heartbeats, and longer than most elections. When no
+front is ready, balancers use all of them."""
 
 
 class ToControl(msgspec.Struct, frozen=True):
@@ -96,7 +94,7 @@
 
 
 class EndAttempts(msgspec.Struct, frozen=True):
-    """Action: nothing comes any more of attempts that run on these upstreams."""
+    """Action: fail the attempts on these upstreams, which will send nothing more."""
 
     upstreams: list[UpstreamId]
 
@@ -114,13 +112,13 @@
         self.lease = KeyLease(
             bounds.key_revocation, is_strict=bounds.is_revocation_strict
         )
-        self.directory = EndpointDirectory(SILENCE_LIMIT, heard_again=1)
+        self.directory = EndpointDirectory(ENDPOINT_TIMEOUT_S, heard_again=1)
         self.balancer = ServiceBalancer()
         self.crashes = CrashLedger()
         self.limits = FrontLimits(settings.instance, now)
         self.backoffs = UpstreamBackoffs()
         self._draining: dict[UpstreamId, None] = {}
-        """Upstreams that said here that they leave: for a leader that comes later."""
+        """Upstreams that announced a drain in a response, kept for a later leader."""
 
         self._unanswered = UnansweredAttempts()
         self.retries = RetryWindow(
@@ -128,17 +126,17 @@
         )
         self.scheduler = EngineScheduler(settings.instance, LONGEST_PART_ALONE)
         self._seeds = {InstanceId(seed) for seed in settings.seeds}
-        self._told: set[InstanceId] = set()
+        self._announced: set[InstanceId] = set()
         self.leader: InstanceId | None = None
         self.is_draining = False
         self._term = Term(0)
         self._linked: set[InstanceId] = set()
         self._jobs = FrontJobs(self.scheduler)
         self._outcomes: dict[UpstreamId, UpstreamOutcomes] = {}
-        self._outcomes_at = now
-        self._lease_at = now
-        self._heard_at = now
-        self._tidy_at = now
+        self._next_outcome_report_at = now
+        self._next_lease_request_at = now
+        self._leader_seen_at = now
+        self._next_expiry_at = now
         self._was_ready = False
         self.was_ready = False
         """Whether this process was ready at any time since its start."""
@@ -146,47 +144,47 @@
     # Readiness
 
     def is_ready(self, now: float) -> bool:
-        """Whether new connections are wanted here.
+        """Whether load balancers should open new connections to this front.
 
         A front that is cut off from the leader still serves, but it places engine work
-        without knowing the others': they had better take what is new.
+        without knowing that of other fronts, so new connections should go to those.
         """
         is_led = not self.is_cut_off(now)
         return not self.is_draining and is_led and self.may_admit(now)
 
     def is_cut_off(self, now: float) -> bool:
-        """Whether nothing was heard of a leader for so long that callers had better go.
+        """Whether the leader sent nothing within :data:`LEADER_TIMEOUT_S`.
 
-        Over connections that callers keep, requests come here whatever the balancer is
-        told: they are asked to close them.
+        Readiness doesn't move requests on persistent connections, so callers are asked
+        to close those.
         """
-        return now - self._heard_at >= LEADER_PATIENCE
+        return now - self._leader_seen_at >= LEADER_TIMEOUT_S
 
     def may_admit(self, now: float) -> bool:
-        """Whether requests may be admitted: a document is held and its lease lasts."""
+        """Whether requests may be admitted: there is a document with a valid lease."""
         return self.table.routing.version > 0 and self.lease.is_valid(now)
 
     # Links
 
     def note_seeds(self, seeds: list[InstanceId]) -> None:
-        """The settings name these control instances now."""
+        """Replace the control instances that the settings name."""
         self._seeds = set(seeds)
 
     @property
     def instances(self) -> set[InstanceId]:
-        """Control instances to keep a link to: named, told of, or linked already.
+        """Control instances to keep a link to: configured, announced or linked.
 
-        One that was replaced is not told of any more, and once its link is lost it is
-        not dialled again.
+        A replaced instance is no longer announced, so it isn't dialled again once its
+        link is lost.
         """
-        return self._seeds | self._told | self._linked
+        return self._seeds | self._announced | self._linked
 
     def add_link(self, instance: InstanceId) -> None:
-        """A link to a control instance is up."""
+        """Add a control instance whose link is up."""
         self._linked.add(instance)
 
     def remove_link(self, instance: InstanceId) -> None:
-        """A link to a control instance was lost."""
+        """Remove a control instance whose link was lost."""
         self._linked.discard(instance)
         if instance == self.leader:
             logger.info("leader lost", leader=instance, term=self._term)
@@ -195,29 +193,29 @@
     def handle(
         self, sender: InstanceId, message: LinkMessage, now: float
     ) -> Sequence[FrontAction]:
-        """Take a message of a control instance."""
+        """Apply a message of a control instance; return the actions it causes."""
         if sender == self.leader:
-            self._heard_at = now
+            self._leader_seen_at = now
             self.limits.note_leader_heard(now)
         match message:
             case ControlNews():
-                return self._take_control_news(sender, message, now)
+                return self._apply_control_status(sender, message, now)
             case KnownInstances(instances):
-                # A relay's word is second-hand: of use only while nobody leads.
+                # A relay's list may be stale: used only while there is no leader.
                 if self.leader is None:
-                    self._told |= set(instances)
+                    self._announced |= set(instances)
             case RoutingNews():
-                return self._take_routing(sender, message)
+                return self._apply_routing(sender, message)
             case LeaseAnswer(asked_at, newest):
                 held = self.table.routing.version
                 if not self.lease.confirm(asked_at, newest, held):
-                    # The document on its way may have been lost with a link.
+                    # The newer document may have been lost with a link.
                     logger.info("routing is behind", held=held, newest=newest)
                     return [ToControl(sender, Subscribe(held))]
             case EjectedUpstreams(upstreams) if sender == self.leader:
-                self._take_ejected(upstreams, now)
-            case EndpointChanges(news):
-                return self._take_endpoints(news, now)
+                self._apply_ejected(upstreams, now)
+            case EndpointChanges(changes):
+                return self._apply_endpoints(changes, now)
             case LimitNews():
                 self.limits.take(message, now)
             case FrontPlace() if sender == self.leader:
@@ -228,14 +226,14 @@
         return []
 
     def advance(self, now: float) -> list[ToControl]:
-        """Act on time."""
+        """Run the actions that are due at ``now``."""
         actions = []
-        if self.leader is not None and now >= self._lease_at:
-            self._lease_at = now + LEASE_PERIOD
-            actions.append(ToControl(self.leader, self._ask_lease(now)))
-        if self._outcomes and now >= self._outcomes_at:
-            self._outcomes_at = now + OUTCOMES_PERIOD
-            actions += self._tell_leader(OutcomesSeen(list(self._outcomes.values())))
+        if self.leader is not None and now >= self._next_lease_request_at:
+            self._next_lease_request_at = now + LEASE_REQUEST_INTERVAL_S
+            actions.append(ToControl(self.leader, self._build_lease_request(now)))
+        if self._outcomes and now >= self._next_outcome_report_at:
+            self._next_outcome_report_at = now + OUTCOME_REPORT_INTERVAL_S
+            actions += self._send_to_leader(OutcomesSeen(list(self._outcomes.values())))
             self._outcomes.clear()
         if self.is_ready(now) != self._was_ready:
             self._was_ready = not self._was_ready
@@ -247,8 +245,8 @@
                 routing=self.table.routing.version,
                 lease=round(self.lease.compute_remaining(now), 3),
             )
-        if now >= self._tidy_at:
-            self._tidy_at = now + TIDY_PERIOD
+        if now >= self._next_expiry_at:
+            self._next_expiry_at = now + EXPIRY_INTERVAL_S
             self.scheduler.expire(now)
             self.crashes.expire(now)
             self._unanswered.expire(now)
@@ -259,64 +257,68 @@
             self._draining = {one: None for one in known if one in self._draining}
         return actions
 
-    def _take_endpoints(
-        self, news: list[EndpointNews], now: float
+    def _apply_endpoints(
+        self, changes: list[EndpointNews], now: float
     ) -> list[FrontAction]:
         ended = []
-        for one in news:
-            name = one.endpoint.name
+        for change in changes:
+            name = change.endpoint.name
             before = self.directory.get_newest(name)
-            self.directory.merge(one, now)
+            self.directory.merge(change, now)
             if before is not None and before != self.directory.get_newest(name):
                 ended.append(before)
-        actions: list[FrontAction] = [*self._blame_unanswered(ended, now)]
+        actions: list[FrontAction] = [*self._record_unanswered_crashes(ended, now)]
         return [EndAttempts(ended), *actions] if ended else actions
 
-    def _take_control_news(
-        self, sender: InstanceId, news: ControlNews, now: float
+    def _apply_control_status(
+        self, sender: InstanceId, status: ControlNews, now: float
     ) -> list[ToControl]:
-        self.retries.set_fronts(news.fronts, now)
-        self.limits.note_fronts(news.fronts)
-        if news.leader is None or news.term < self._term:
-            # It may be cut off; but what it names may be all that is left.
-            self._told |= set(news.instances)
+        self.retries.set_fronts(status.fronts, now)
+        self.limits.note_fronts(status.fronts)
+        if status.leader is None or status.term < self._term:
+            # The sender may be cut off, but its instances may be the only ones left.
+            self._announced |= set(status.instances)
             return []
-        if news.leader in news.instances:
-            self._told = set(news.instances)
+        if status.leader in status.instances:
+            self._announced = set(status.instances)
         else:
-            # It has heard of the leader, but not yet of the group: its disk is new.
-            self._told |= set(news.instances)
-        # One that lost the lead and won it again has forgotten what is open.
-        is_known = news.leader == self.leader and news.term == self._term
-        self._term = news.term
-        if news.busy:
-            self.scheduler.note_busy(news.busy, now)
-        if is_known or news.leader not in self._linked:
+            # A sender with a new disk knows the leader, but not yet the whole group.
+            self._announced |= set(status.instances)
+        # A leader that was elected again in a newer term has lost the open jobs.
+        is_known = status.leader == self.leader and status.term == self._term
+        self._term = status.term
+        if status.busy:
+            self.scheduler.note_busy(status.busy, now)
+        if is_known or status.leader not in self._linked:
             return []
-        logger.info("leader found", leader=news.leader, term=news.term, source=sender)
-        self.leader = news.leader
-        # The next one finds out anew, and says so.
+        logger.info(
+            "leader found", leader=status.leader, term=status.term, source=sender
+        )
+        self.leader = status.leader
+        # The new leader detects outliers anew and publishes them.
         self.balancer.note_ejected(())
-        self._heard_at = now
-        self._lease_at = now + LEASE_PERIOD
+        self._leader_seen_at = now
+        self._next_lease_request_at = now + LEASE_REQUEST_INTERVAL_S
         limits = self.limits.build_news()
         return [
-            *(self._tell_leader(limits) if limits is not None else []),
-            *self._tell_draining(list(self._draining)),
-            ToControl(news.leader, Subscribe(self.table.routing.version)),
-            ToControl(news.leader, OpenJobs(self._jobs.list_open(now))),
-            ToControl(news.leader, self._ask_lease(now)),
-            *self._tell_crashes(self.crashes.list_to_tell(now)),
+            *(self._send_to_leader(limits) if limits is not None else []),
+            *self._report_draining(list(self._draining)),
+            ToControl(status.leader, Subscribe(self.table.routing.version)),
+            ToControl(status.leader, OpenJobs(self._jobs.list_open(now))),
+            ToControl(status.leader, self._build_lease_request(now)),
+            *self._report_crashes(self.crashes.list_to_tell(now)),
         ]
 
-    def _ask_lease(self, now: float) -> LeaseQuestion:
+    def _build_lease_request(self, now: float) -> LeaseQuestion:
         return LeaseQuestion(now, is_urgent=not self.lease.is_valid(now))
 
-    def _take_routing(self, sender: InstanceId, news: RoutingNews) -> list[ToControl]:
+    def _apply_routing(
+        self, sender: InstanceId, update: RoutingNews
+    ) -> list[ToControl]:
         held = self.table.routing
-        if news.version > held.version:
-            base = EMPTY_ROUTING if news.base == 0 else held
-            newer = apply_news(base, news)
+        if update.version > held.version:
+            base = EMPTY_ROUTING if update.base == 0 else held
+            newer = apply_news(base, update)
             if newer is not None:
                 self.table = RouteTable(newer)
                 self.lease.note_held(newer.version)
@@ -332,25 +334,30 @@
     # Engine jobs
 
     def open_job(
-        self, work: EngineWork, placement: Placement, now: float, *, is_own: bool
+        self,
+        work: EngineWork,
+        placement: Placement,
+        now: float,
+        *,
+        is_uncoordinated: bool,
     ) -> list[ToControl]:
-        """Keep a job that was placed; ``is_own``: by this front's own scheduler."""
+        """Open a placed job; ``is_uncoordinated``: placed by this front alone."""
         opened = self._jobs.open(work, placement, now)
-        if is_own:
-            told = self._tell_placed_here(opened)
-            return told + self.note_sent_alone(placement.upstream)
+        if is_uncoordinated:
+            reports = self._report_placed_here(opened)
+            return reports + self.note_sent_alone(placement.upstream)
         self._jobs.adopt(opened, self.table.find_engine(work.service), now)
         return []
 
     def note_replanned(
         self, work: EngineWork, placement: Placement, now: float
     ) -> None:
-        """The leader gave a job that waits for its turn another placement."""
+        """Record the leader's new placement of a job that is still queued."""
         profile = self.table.find_engine(work.service)
         self._jobs.replan(work, placement, profile, now)
 
     def place(self, work: EngineWork, now: float) -> Placement | Declined:
-        """Place a job from what this front knows alone."""
+        """Place a job without the leader, from the state of this front."""
         profile = self.table.find_engine(work.service)
         if profile is None:
             return Declined(NO_REPLICA_PAUSE)
@@ -360,9 +367,9 @@
         )
 
     def leave_out_closed(self, work: EngineWork, now: float) -> EngineWork:
-        """The same work, to be placed without replicas that asked for a pause here.
+        """Return the work without the replicas that are in backoff for this front.
 
-        They asked this front alone, so that whoever places for it cannot know.
+        Backoff is known to this front only, so the leader cannot exclude them.
         """
         closed = self.backoffs.list_closed(now)
         if not closed:
@@ -371,20 +378,20 @@
         return msgspec.structs.replace(work, excluded=excluded)
 
     def list_left(self, placement: Placement, now: float) -> set[UpstreamId]:
-        """Replicas of a placement that must not be sent new work any more."""
+        """Return the replicas of a placement that may not be sent new work any more."""
         return {one for one in placement.upstreams if not self.may_send(one, now)}
 
     def may_send(self, upstream: UpstreamId, now: float) -> bool:
-        """Whether an upstream takes new requests from this front."""
+        """Whether this front may send new requests to an upstream."""
         is_usable = self.directory.is_usable(upstream)
         return is_usable and self.backoffs.may_send(upstream, now)
 
     def compute_backoff(
         self, service: ServiceName, excluded: Container[UpstreamId], now: float
     ) -> float:
-        """Seconds until an upstream of a service may be sent a request.
+        """Return the seconds until an upstream of a service may be sent a request.
 
-        0 if there is one, or if all are ``excluded``: time does not help then.
+        0 if there is one already, or if all are ``excluded`` and waiting cannot help.
         """
         if not self.backoffs.is_any:
             return 0.0
@@ -395,93 +402,93 @@
     def replace_job(
         self, job: JobId, placement: Placement, now: float
     ) -> list[ToControl]:
-        """An open job runs on other replicas than planned, at the time it was given."""
+        """Move an open job to other replicas than planned, at its planned time."""
         profile = self.table.find_engine(self._jobs.find_work(job).service)
         opened = self._jobs.replace(job, placement, profile, now)
-        return self._tell_placed_here(opened)
+        return self._report_placed_here(opened)
 
-    def _tell_placed_here(self, opened: OpenJob) -> list[ToControl]:
-        """Tell the leader where a job runs, whatever it planned for it itself.
+    def _report_placed_here(self, opened: OpenJob) -> list[ToControl]:
+        """Report to the leader where a job runs, in place of the leader's own plan.
 
-        A leader that did not answer in time has placed it, too. It would go on counting
-        the job there, and send others to the replica on which it runs.
+        A leader whose reply came late has placed the job, too. It would otherwise count
+        the job at the wrong replica, and overload the one on which it runs.
         """
         ended = JobStage(opened.work.job, is_ended=True)
-        # It ignores what it is told of a job that it knows already.
+        # The end comes first: the leader ignores reports of jobs that it knows.
         return [
-            *self._tell_leader(JobStages([ended])),
-            *self._tell_leader(OpenJobs([opened])),
+            *self._send_to_leader(JobStages([ended])),
+            *self._send_to_leader(OpenJobs([opened])),
         ]
 
     def note_stage(self, stage: JobStage, now: float) -> list[ToControl]:
-        """A job's first token was seen, or it ended."""
+        """Record the first token or the end of a job."""
         self._jobs.note_stage(stage, now)
-        return self._tell_leader(JobStages([stage]))
+        return self._send_to_leader(JobStages([stage]))
 
     def note_outcome(self, upstream: UpstreamId, *, has_failed: bool) -> None:
-        """An attempt at an upstream ended with an answer, or with its failure."""
+        """Count a response or a failure of an upstream."""
         seen = self._outcomes.get(upstream) or UpstreamOutcomes(upstream, 0, 0)
         self._outcomes[upstream] = UpstreamOutcomes(
             upstream, seen.answered + (not has_failed), seen.failed + has_failed
         )
 
-    # Limits on requests a second
+    # Rate limits
 
     def hear_limit(self, heard: HeardLimit, now: float) -> list[ToControl]:
-        """An upstream's answer named the requests a second that it takes, or none."""
-        told = self.limits.hear(heard, now, is_led=self.leader is not None)
-        return self._tell_leader(told) if told is not None else []
+        """Record the rate limit in an upstream's response, or that there is none."""
+        update = self.limits.hear(heard, now, is_led=self.leader is not None)
+        return self._send_to_leader(update) if update is not None else []
 
     def note_sent_alone(self, upstream: UpstreamId) -> list[ToControl]:
-        """A request is sent to an upstream without the leader's word."""
+        """Report a request that is sent without the leader's send permit."""
         if not self.limits.is_limited(upstream):
             return []
-        return self._tell_leader(SentAlone([upstream]))
+        return self._send_to_leader(SentAlone([upstream]))
 
-    # What upstreams say in answers of when they may be sent requests
+    # Draining upstreams
 
     def hear_draining(self, upstream: UpstreamId) -> list[ToControl] | None:
-        """An upstream said in an answer that it leaves; its registrations may not.
+        """Record a drain announced in a response; the registrations may not show it.
 
-        ``None`` if that is no news.
+        Return ``None`` if it was known.
         """
         if self.directory.note_draining(upstream) is None:
             return None
         self._draining[upstream] = None
-        return self._tell_draining([upstream])
+        return self._report_draining([upstream])
 
-    def _tell_draining(self, upstreams: list[UpstreamId]) -> list[ToControl]:
-        return self._tell_leader(DrainingHeard(upstreams)) if upstreams else []
+    def _report_draining(self, upstreams: list[UpstreamId]) -> list[ToControl]:
+        return self._send_to_leader(DrainingHeard(upstreams)) if upstreams else []
 
-    # Requests under which upstreams end
+    # Crashes and suspect requests
 
     def note_lost(
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> list[ToControl]:
-        """An upstream ended, or cut the request off, while it ran it."""
+        """Record that an upstream crashed or disconnected during a request."""
         record = self.crashes.note_lost(fingerprint, upstream, now)
-        return self._tell_crashes([record]) if record is not None else []
+        return self._report_crashes([record]) if record is not None else []
 
     def note_answered(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
-        """An upstream gave a whole answer to the request."""
+        """Record that an upstream gave a complete response to the request."""
         if not self.crashes.note_answered(fingerprint, now):
             return []
-        return self._tell_leader(CrashNews([], [fingerprint]))
+        return self._send_to_leader(CrashNews([], [fingerprint]))
 
     def note_unanswered(
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> None:
-        """An attempt got no answer, and its connection did not end."""
+        """Record an attempt without a response whose connection did not break."""
         self._unanswered.add(upstream, fingerprint, now)
 
-    def _blame_unanswered(
+    def _record_unanswered_crashes(
         self, superseded: list[UpstreamId], now: float
     ) -> list[ToControl]:
-        """Upstreams may have ended under requests that they left unanswered."""
-        owing = self._unanswered.list_upstreams()
+        """Record crashes of upstreams that ended with unanswered requests."""
+        unanswered = self._unanswered.list_upstreams()
         ended = [
             upstream
-            for upstream in owing
+            for upstream in unanswered
             if upstream in superseded or self.directory.has_ended(upstream)
         ]
         actions = []
@@ -490,31 +497,31 @@
                 actions += self.note_lost(fingerprint, upstream, now)
         return actions
 
-    def _tell_crashes(self, records: list[CrashRecord]) -> list[ToControl]:
-        return self._tell_leader(CrashNews(records, [])) if records else []
+    def _report_crashes(self, records: list[CrashRecord]) -> list[ToControl]:
+        return self._send_to_leader(CrashNews(records, [])) if records else []
 
-    def _take_ejected(self, upstreams: list[UpstreamId], now: float) -> None:
+    def _apply_ejected(self, upstreams: list[UpstreamId], now: float) -> None:
         logger.info("upstreams ejected", upstreams=upstreams, source=self.leader)
         self.balancer.note_ejected(upstreams)
         for upstream in upstreams:
-            # For the time in which this front may have to place alone.
+            # For uncoordinated placement, should the leader be lost.
             self.scheduler.note_failure(upstream, now)
 
     def note_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
-        """A replica could not be reached, or fell silent."""
+        """Record and report a replica that is unreachable or unresponsive."""
         self.scheduler.note_failure(upstream, now)
-        return self._tell_leader(ReplicaFailures([upstream]))
+        return self._send_to_leader(ReplicaFailures([upstream]))
 
     def note_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
-        """An engine turned a request away that it had not run."""
+        """Record and report that an engine rejected a request without running it."""
         self.scheduler.note_rejection(upstream, now)
-        return self._tell_leader(RejectionSeen(upstream))
+        return self._send_to_leader(RejectionSeen(upstream))
 
     def note_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
-        """Replicas told how slow they are."""
+        """Record and report how slow replicas say they are."""
         for pace in paces:
             self.scheduler.note_pace(pace, now)
-        return self._tell_leader(ReplicaPaces(paces)) if paces else []
+        return self._send_to_leader(ReplicaPaces(paces)) if paces else []
 
-    def _tell_leader(self, message: LinkMessage) -> list[ToControl]:
+    def _send_to_leader(self, message: LinkMessage) -> list[ToControl]:
         return [ToControl(self.leader, message)] if self.leader is not None else []
--- a/src/scalebend/core/gateway/messages.py
+++ b/src/scalebend/core/gateway/messages.py
@@ -32,7 +32,7 @@
 
 
 class Introduce(msgspec.Struct, frozen=True, tag=True):
-    """First message of a link: who dialled. ``incarnation`` differs at each start."""
+    """First message of a link: the dialling process; each start has its incarnation."""
 
     instance: InstanceId
     incarnation: int
@@ -40,24 +40,24 @@
 
 
 class ControlNews(msgspec.Struct, frozen=True, tag=True):
-    """Control instance to front, also as a heartbeat: who leads, and who there is."""
+    """Control instance to front, also as a heartbeat: the leader and the instances."""
 
     instances: list[InstanceId]
     leader: InstanceId | None
     term: Term
     fronts: int
     busy: list[BusyReplica] = msgspec.field(default_factory=list)
-    """From the leader: the busiest replicas, should it be lost."""
+    """From the leader: the busiest replicas, for uncoordinated placement."""
 
 
 class KnownInstances(msgspec.Struct, frozen=True, tag=True):
-    """Relay to whoever dialled, also as a heartbeat: control instances with a disk."""
+    """Relay to its peer, also as a heartbeat: control instances that have a disk."""
 
     instances: list[InstanceId]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag=True):
-    """Either end of a link to the other: still here."""
+    """Either end of a link to the other."""
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag=True):
@@ -68,40 +68,40 @@
 
 
 class LeaseQuestion(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: which routing document is the newest from now on?"""
+    """Front to leader: request for a lease on the newest routing document."""
 
     asked_at: float
     is_urgent: bool = False
-    """Whether the front holds no lease, and refuses requests until it has one."""
+    """Whether the front has no valid lease and so rejects requests."""
 
 
 class LeaseAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Leader to front, once a quorum confirmed that it led after the question."""
+    """Leader to front, once a quorum confirmed its lead after the request."""
 
     asked_at: float
     newest: RoutingVersion
 
 
 class EndpointChanges(msgspec.Struct, frozen=True, tag=True):
-    """Control instance to fronts: changes of upstreams, or all of them at first."""
+    """Control instance to fronts: changed upstreams; all of them at first."""
 
     news: list[EndpointNews]
 
 
 class Registrations(msgspec.Struct, frozen=True, tag=True):
-    """Control instance to the others: registrations it took, changed or not."""
+    """Control instance to the others: registrations it received, changed or not."""
 
     news: list[EndpointNews]
 
 
 class PlaceQuestion(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: where should this run?"""
+    """Front to leader: request to place a job."""
 
     work: EngineWork
 
 
 class PlaceAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Control instance to front; neither placement nor refusal if it does not lead."""
+    """Control instance to front; without placement and refusal if it isn't leader."""
 
     job: JobId
     placement: Placement | None = None
@@ -109,13 +109,13 @@
 
 
 class JobStages(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: how far jobs came."""
+    """Front to leader: first tokens and ends of jobs."""
 
     stages: list[JobStage]
 
 
 class ReplicaFailures(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: replicas that could not be reached or fell silent."""
+    """Front to leader: replicas that are unreachable or unresponsive."""
 
     upstreams: list[UpstreamId]
 
@@ -127,21 +127,21 @@
 
 
 class OutcomesSeen(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: what became of attempts since the last such message."""
+    """Front to leader: outcomes of attempts since the last such message."""
 
     outcomes: list[UpstreamOutcomes]
 
 
 class EjectedUpstreams(msgspec.Struct, frozen=True, tag=True):
-    """Leader to fronts when it changes: all upstreams that fail what they are sent."""
+    """Leader to fronts on each change: all upstreams that are ejected as outliers."""
 
     upstreams: list[UpstreamId]
 
 
 class CrashNews(msgspec.Struct, frozen=True, tag=True):
-    """Any process to another: requests under which upstreams ended.
+    """Any process to another: requests during which upstreams crashed.
 
-    ``cleared`` are requests that an upstream answered after all.
+    ``cleared`` are requests that an upstream completed later.
     """
 
     records: list[CrashRecord]
@@ -149,49 +149,49 @@
 
 
 class LimitsHeard(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: what answers of upstreams said of the requests they take."""
+    """Front to leader: rate limits that upstreams named in responses."""
 
     heard: list[HeardLimit]
 
 
 class LimitNews(msgspec.Struct, frozen=True, tag=True):
-    """Leader to fronts: limits that changed; front to a new leader: all it knows."""
+    """Leader to fronts: changed rate limits; front to a new leader: all it knows."""
 
     limits: list[RequestLimit]
 
 
 class RejectionSeen(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: an engine turned a request away that it had not run."""
+    """Front to leader: an engine rejected a request without running it."""
 
     upstream: UpstreamId
 
 
 class DrainingHeard(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: upstreams that said in answers that they leave."""
+    """Front to leader: upstreams that announced a drain in responses."""
 
     upstreams: list[UpstreamId]
 
 
 class FrontPlace(msgspec.Struct, frozen=True, tag=True):
-    """Leader to front: which of how many fronts it is, should the leader be lost."""
+    """Leader to front: its number among all fronts, used if the leader is lost."""
 
     fronts: int
     number: int
 
 
 class SendQuestion(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: to which of these limited upstreams may a request be sent?"""
+    """Front to leader: request to send to one of these rate-limited upstreams."""
 
     question: SendId
     upstreams: list[UpstreamId]
     patience: float
-    """Seconds for which the request would wait."""
+    """Seconds for which the request may wait."""
 
 
 class SendAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Leader to front: send there after ``wait`` seconds.
+    """Leader to front: permit to send to ``upstream`` after ``wait`` seconds.
 
-    Without an upstream nothing may be sent; one has room after ``wait`` seconds.
+    Without an upstream there is no permit; one has capacity after ``wait`` seconds.
     """
 
     question: SendId
@@ -200,13 +200,13 @@
 
 
 class SentAlone(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: limited upstreams that were sent a request without its word."""
+    """Front to leader: rate-limited upstreams that got a request without a permit."""
 
     upstreams: list[UpstreamId]
 
 
 class OpenJobs(msgspec.Struct, frozen=True, tag=True):
-    """Front to a new leader: the jobs it has open."""
+    """Front to a new leader: its open jobs."""
 
     jobs: list[OpenJob]
 
--- a/src/scalebend/core/gateway/route_table.py
+++ b/src/scalebend/core/gateway/route_table.py
@@ -1,4 +1,4 @@
-"""Which route, customer and service a request belongs to, from one document."""
+"""Look-up of the route, customer and service of a request in a routing document."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RouteTable:
-    """Look-up structures of one routing document."""
+    """Indexes of one routing document."""
 
     def __init__(self, routing: Routing) -> None:
         self.routing = routing
@@ -33,7 +33,7 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of ``path``; ``host`` may name a port."""
+        """Return the route by the longest path prefix; ``host`` may name a port."""
         name = host.partition(":")[0].lower()
         for route in self._hosts.get(name, ()):
             if path.startswith(route.path_prefix):
@@ -41,16 +41,16 @@
         return None
 
     def find_customer(self, key: str | None) -> RoutedCustomer | None:
-        """The customer that ``key`` belongs to."""
+        """Return the customer that ``key`` belongs to."""
         return self._customers.get(key) if key is not None else None
 
     def find_engine(self, service: ServiceName) -> EngineProfile | None:
-        """What the engines of a service are like; ``None`` if it has none."""
-        known = self.services.get(service)
-        return known.engine if known is not None else None
+        """Return the engine profile of a service; ``None`` if it has no engines."""
+        found = self.services.get(service)
+        return found.engine if found is not None else None
 
     def choose_service(self, route: Route, chooser: random.Random) -> ServiceName:
-        """Draw a service of the route by weight."""
+        """Return a service of the route, drawn at random by weight."""
         if len(route.services) == 1:
             return route.services[0].service
         weights = [split.weight for split in route.services]
@@ -58,17 +58,17 @@
 
 
 def check_routing(routing: Routing) -> None:
-    """Raise :class:`DocumentError` with every fault that no schema can say."""
+    """Raise :class:`DocumentError` with all faults that a schema cannot express."""
     faults: list[Fault] = []
     services = {service.name for service in routing.services}
-    places: set[tuple[str, str]] = set()
+    prefixes: set[tuple[str, str]] = set()
     for number, route in enumerate(routing.routes):
         path = f"$.routes[{number}]"
         faults += _check_route(path, route, services)
-        place = (route.host.lower(), route.path_prefix)
-        if place in places:
+        prefix = (route.host.lower(), route.path_prefix)
+        if prefix in prefixes:
             faults.append(Fault(path, "expected a host and prefix not used before"))
-        places.add(place)
+        prefixes.add(prefix)
     faults += _check_keys(routing.customers)
     if faults:
         raise DocumentError(faults, kind=ErrorKind.INVALID_CONFIGURATION)
--- a/src/scalebend/core/gateway/routing_store.py
+++ b/src/scalebend/core/gateway/routing_store.py
@@ -1,4 +1,4 @@
-"""Packed routing documents, and what changed between two of them."""
+"""Compressed routing documents and the differences between versions."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     StoredRouting,
 )
 
-COMPRESSION = 1
-"""Level of zlib: the fastest makes a document of 350 routes ten times smaller."""
+COMPRESSION_LEVEL = 1
+"""The fastest level of zlib; routing documents are repetitive enough for it."""
 
 _DECODER = msgspec.msgpack.Decoder(Routing)
 
@@ -26,33 +26,33 @@
 V = TypeVar("V")
 
 
-class RoutePlace(msgspec.Struct, frozen=True, array_like=True):
-    """What identifies a route: no two of a document share it."""
+class RouteKey(msgspec.Struct, frozen=True, array_like=True):
+    """Identity of a route, unique in a document."""
 
     host: str
     path_prefix: str
 
 
 class RoutingNews(msgspec.Struct, frozen=True, tag=True):
-    """What turns version ``base`` into ``version``; base 0 is the empty document.
+    """Difference from version ``base`` to ``version``; base 0 is the empty document.
 
-    A large change goes to many fronts at once, over links that also carry answers to
-    their questions: so it is packed, once for all of them.
+    A large change goes to many fronts at once, over links that also carry replies to
+    their requests, so it is compressed once for all of them.
     """
 
     base: RoutingVersion
     version: RoutingVersion
     packed: bytes
-    """The :class:`_Changes`, as MessagePack by zlib."""
+    """The :class:`_Changes` as MessagePack, compressed by zlib."""
 
 
 class _Changes(msgspec.Struct, frozen=True, array_like=True):
-    """What differs between two documents; limits and keys are told whole."""
+    """Differences of two documents; limits and customers' keys are complete."""
 
     limits: ListenerLimits
     needs_key: bool
     routes: list[Route]
-    removed_routes: list[RoutePlace]
+    removed_routes: list[RouteKey]
     services: list[RoutedService]
     removed_services: list[ServiceName]
     customers: list[RoutedCustomer]
@@ -63,27 +63,27 @@
 
 
 def pack_routing(routing: Routing, document: bytes) -> StoredRouting:
-    """Return the form in which the replicated log holds a document."""
+    """Return a document in the form that the replicated log stores."""
     encoded = msgspec.msgpack.encode(routing)
     return StoredRouting(
         routing.version,
-        zlib.compress(encoded, COMPRESSION),
-        zlib.compress(document, COMPRESSION),
+        zlib.compress(encoded, COMPRESSION_LEVEL),
+        zlib.compress(document, COMPRESSION_LEVEL),
     )
 
 
 def unpack_routing(stored: StoredRouting) -> Routing:
-    """Return the document that the log holds."""
+    """Return the routing document of a stored entry."""
     return _DECODER.decode(zlib.decompress(stored.routing))
 
 
 def unpack_document(stored: StoredRouting) -> bytes:
-    """Return the bytes that the operator sent."""
+    """Return the document of a stored entry as the operator sent it."""
     return zlib.decompress(stored.document)
 
 
 def build_news(base: Routing, newer: Routing) -> RoutingNews:
-    """Return what changed from ``base`` to ``newer``."""
+    """Return the differences from ``base`` to ``newer``."""
     old_routes = _index_routes(base)
     new_routes = _index_routes(newer)
     old_services = {service.name: service for service in base.services}
@@ -100,20 +100,20 @@
         _list_changed(old_customers, new_customers),
         _list_removed(old_customers, new_customers),
     )
-    packed = zlib.compress(msgspec.msgpack.encode(changes), COMPRESSION)
+    packed = zlib.compress(msgspec.msgpack.encode(changes), COMPRESSION_LEVEL)
     return RoutingNews(base.version, newer.version, packed)
 
 
 def apply_news(base: Routing, news: RoutingNews) -> Routing | None:
-    """Return the newer document; ``None`` when ``base`` is not the news' base."""
+    """Return the newer document; ``None`` if ``base`` isn't the update's base."""
     if base.version != news.base:
         return None
     changes = _CHANGES_DECODER.decode(zlib.decompress(news.packed))
     routes = _index_routes(base)
-    for place in changes.removed_routes:
-        routes.pop(place, None)
+    for route_key in changes.removed_routes:
+        routes.pop(route_key, None)
     for route in changes.routes:
-        routes[RoutePlace(route.host, route.path_prefix)] = route
+        routes[RouteKey(route.host, route.path_prefix)] = route
     services = {service.name: service for service in base.services}
     for service_name in changes.removed_services:
         services.pop(service_name, None)
@@ -132,8 +132,8 @@
     )
 
 
-def _index_routes(routing: Routing) -> dict[RoutePlace, Route]:
-    return {RoutePlace(r.host, r.path_prefix): r for r in routing.routes}
+def _index_routes(routing: Routing) -> dict[RouteKey, Route]:
+    return {RouteKey(r.host, r.path_prefix): r for r in routing.routes}
 
 
 def _list_changed(old: dict[K, V], new: dict[K, V]) -> list[V]:
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -215,7 +215,9 @@
             placed = self.instance.place(work, self.now())
         if isinstance(placed, Placement):
             self._execute(
-                self.instance.open_job(work, placed, self.now(), is_own=is_own)
+                self.instance.open_job(
+                    work, placed, self.now(), is_uncoordinated=is_own
+                )
             )
         self.metrics.count_placement("front" if is_own else "leader")
         return Decision(placed, leader)
--- a/tests/lib/gateway_group.py
+++ b/tests/lib/gateway_group.py
@@ -124,14 +124,14 @@
         if front.leader is None:
             placed = front.place(work, self.now)
             if isinstance(placed, Placement):
-                told = front.open_job(work, placed, self.now, is_own=True)
+                told = front.open_job(work, placed, self.now, is_uncoordinated=True)
                 self._send(self.names[number], told)
             return placed
         question = PlaceQuestion(work)
         (action,) = self.leader.handle_front(self.names[number], question, self.now)
         placed = action.message.placement or action.message.declined
         if isinstance(placed, Placement):
-            told = front.open_job(work, placed, self.now, is_own=False)
+            told = front.open_job(work, placed, self.now, is_uncoordinated=False)
             self._send(self.names[number], told)
         return placed
 
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -271,7 +271,7 @@
         e for e in deployment.endpoints if e.upstream != late.message.placement.upstream
     ]
     own = front.scheduler.place(work, others, PROFILE, deployment.now)
-    for told in front.open_job(work, own, deployment.now, is_own=True):
+    for told in front.open_job(work, own, deployment.now, is_uncoordinated=True):
         deployment.leader.handle_front(name, told.message, deployment.now)
     busy = deployment.leader.scheduler.list_busy(deployment.now, 5)
     assert [one.upstream for one in busy] == [own.upstream]
--- a/tests/unit/gateway/test_event_cursor.py
+++ b/tests/unit/gateway/test_event_cursor.py
@@ -2,7 +2,7 @@
 from hypothesis import given, strategies as st
 
 from scalebend.core.gateway.event_cursor import (
-    MOST_PENDING,
+    MAX_EVENT_BYTES,
     EventCursor,
     GarbledEventsError,
 )
@@ -51,4 +51,4 @@
 
 def test_endless_event_is_refused():
     with pytest.raises(GarbledEventsError):
-        EventCursor().feed(b"x" * (MOST_PENDING + 1))
+        EventCursor().feed(b"x" * (MAX_EVENT_BYTES + 1))
--- a/tests/unit/gateway/test_front_instance.py
+++ b/tests/unit/gateway/test_front_instance.py
@@ -141,7 +141,7 @@
     front.handle(A, EndpointChanges([EndpointNews(build_endpoint(), False)]), 1.0)
     for number in (1, 2):
         work = build_quick(number)
-        front.open_job(work, front.place(work, 1.0), 1.0, is_own=True)
+        front.open_job(work, front.place(work, 1.0), 1.0, is_uncoordinated=True)
     front.note_stage(JobStage("front-1-1", is_ended=True), 1.5)
     front.note_stage(JobStage("front-1-2", is_ended=False), 1.5)
     front.remove_link(A)
@@ -175,7 +175,7 @@
     work = build_work("long", 210_000)
     placement = front.place(work, 1.0)
     assert placement.helpers
-    front.open_job(work, placement, 1.0, is_own=True)
+    front.open_job(work, placement, 1.0, is_uncoordinated=True)
     return work, placement
 
 
@@ -241,9 +241,9 @@
     front.handle(A, ControlNews([A, B], A, 1, 2), 1.2)
     work = build_work("short", 5_000)
     placement = front.place(work, 1.3)
-    actions = front.open_job(work, placement, 1.3, is_own=True)
+    actions = front.open_job(work, placement, 1.3, is_uncoordinated=True)
     assert list_messages(actions, OpenJobs)[0].jobs[0].work == work
-    assert front.open_job(work, placement, 1.3, is_own=False) == []
+    assert front.open_job(work, placement, 1.3, is_uncoordinated=False) == []
 
 
 def test_control_instance_that_was_replaced_is_not_dialled_for_ever(front):
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -16,7 +16,7 @@
 )
 
 from scalebend.core.control_state import PutRouting, RoutingHeld
-from scalebend.core.gateway.link_history import MOST_STARTS, WINDOW, LinkHistory
+from scalebend.core.gateway.link_history import MAX_STARTS, WINDOW_S, LinkHistory
 from scalebend.core.gateway.messages import ControlNews, Introduce, KnownInstances
 from scalebend.core.gateway.relay_instance import RelayInstance
 from scalebend.core.gateway.routing_store import pack_routing
@@ -254,9 +254,9 @@
 
 def test_link_that_comes_up_again_and_again_is_unstable():
     history = LinkHistory()
-    starts = [history.note_start("a", float(n)) for n in range(MOST_STARTS + 1)]
-    assert starts == [False] * MOST_STARTS + [True]
+    starts = [history.note_start("a", float(n)) for n in range(MAX_STARTS + 1)]
+    assert starts == [False] * MAX_STARTS + [True]
     # Said once, then counted anew.
-    assert not history.note_start("a", MOST_STARTS + 1.0)
-    rare = [history.note_start("b", n * WINDOW / 2) for n in range(40)]
+    assert not history.note_start("a", MAX_STARTS + 1.0)
+    rare = [history.note_start("b", n * WINDOW_S / 2) for n in range(40)]
     assert not any(rare)
