--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -27,28 +27,28 @@
 from scalebend.core.gateway.leader_placement import LeaderPlacement
 from scalebend.core.gateway.limit_exchange import GRANT_LIFE, LimitExchange
 from scalebend.core.gateway.messages import (
-    ControlNews,
-    CrashNews,
-    DrainingHeard,
+    AttemptOutcomes,
+    ControlStatus,
+    CrashUpdates,
+    DrainingReport,
     EndpointChanges,
     JobStages,
     KnownInstances,
-    LeaseAnswer,
-    LeaseQuestion,
-    LimitNews,
-    LimitsHeard,
+    LeaseReply,
+    LeaseRequest,
+    LimitUpdates,
     LinkMessage,
+    ObservedLimits,
     OpenJobs,
-    OutcomesSeen,
-    PlaceAnswer,
-    PlaceQuestion,
+    PlacementReply,
+    PlacementRequest,
     Registrations,
-    RejectionSeen,
+    RejectionReport,
     ReplicaFailures,
     ReplicaPaces,
-    SendQuestion,
-    SentAlone,
+    SendPermitRequest,
     Subscribe,
+    UncoordinatedSends,
 )
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_push import RoutingPush
@@ -153,7 +153,7 @@
         match message:
             case Registrations(news):
                 return self._tell_upstreams(self.upstreams.merge(news, now))
-            case CrashNews():
+            case CrashUpdates():
                 self.crashes.take_from_peer(message, now)
             case Hello() | HelloReply() | RelayReply() | Found() | Join():
                 self.member.handle(sender, message, now, at)
@@ -276,11 +276,11 @@
         match message:
             case Subscribe(held, is_wanted):
                 return [*self._documents.subscribe(front, held, is_wanted=is_wanted)]
-            case LeaseQuestion(asked_at, is_urgent):
+            case LeaseRequest(asked_at, is_urgent):
                 question = FreshnessQuestion(now, front, asked_at, is_urgent=is_urgent)
                 self._questions.add(question)
                 return self._answer_questions(now)
-            case PlaceQuestion(work):
+            case PlacementRequest(work):
                 return [ToFront(front, self._place(work, now))]
             case JobStages(stages):
                 for stage in stages:
@@ -289,24 +289,24 @@
                 self.placement.note_inspection([], upstreams, now)
             case ReplicaPaces(paces):
                 self.placement.note_inspection(paces, [], now)
-            case OutcomesSeen(outcomes):
+            case AttemptOutcomes(outcomes):
                 return self._take_outcomes(outcomes, now)
-            case CrashNews():
+            case CrashUpdates():
                 self.crashes.take(message, now)
                 return self._send_crashes(now)
-            case LimitsHeard(heard):
+            case ObservedLimits(heard):
                 self.limits.hear(front, heard, now)
-            case LimitNews(limits):
+            case LimitUpdates(limits):
                 self.limits.merge(front, limits, now)
-            case RejectionSeen(upstream):
+            case RejectionReport(upstream):
                 self.scheduler.note_rejection(upstream, now)
-            case DrainingHeard(upstreams):
+            case DrainingReport(upstreams):
                 news = self.upstreams.note_draining(upstreams, now)
                 return self._tell_upstreams(news)
-            case SentAlone(upstreams):
+            case UncoordinatedSends(upstreams):
                 for upstream in upstreams:
                     self.limits.budget.spend(upstream, now)
-            case SendQuestion():
+            case SendPermitRequest():
                 may_grant = self._may_grant(now)
                 answer = self.limits.answer(message, now, may_grant=may_grant)
                 return [ToFront(front, answer)]
@@ -336,8 +336,8 @@
     def _list_peers(self) -> list[InstanceId]:
         return [one for one in self._list_instances() if one != self.me]
 
-    def _build_news(self, now: float) -> ControlNews:
-        return ControlNews(
+    def _build_news(self, now: float) -> ControlStatus:
+        return ControlStatus(
             self._list_instances(),
             self.member.leader,
             self.member.replica.term,
@@ -462,7 +462,7 @@
         actions: list[ControlAction] = []
         for question in answered:
             if question.front is not None:
-                answer = LeaseAnswer(question.asked_at, self.routing.version)
+                answer = LeaseReply(question.asked_at, self.routing.version)
                 actions.append(ToFront(question.front, answer))
         if readers:
             actions.append(ReadConfirmed(readers))
@@ -470,9 +470,9 @@
 
     # Placement
 
-    def _place(self, work: EngineWork, now: float) -> PlaceAnswer:
+    def _place(self, work: EngineWork, now: float) -> PlacementReply:
         if not self.is_leader:
-            return PlaceAnswer(work.job)
+            return PlacementReply(work.job)
         may_grant = self._may_grant(now)
         return self.placement.place(
             work, self.table, self.directory, now, may_grant=may_grant
--- a/src/scalebend/core/gateway/crash_exchange.py
+++ b/src/scalebend/core/gateway/crash_exchange.py
@@ -15,7 +15,7 @@
 from scalebend.core.control_member import ToInstance
 from scalebend.core.crash_ledger import CrashLedger
 from scalebend.core.gateway.control_actions import ControlAction, ToFront
-from scalebend.core.gateway.messages import CrashNews
+from scalebend.core.gateway.messages import CrashUpdates
 from scalebend.models.crashes import CrashRecord
 from scalebend.models.ids import Fingerprint, InstanceId
 
@@ -49,7 +49,7 @@
         """The link to a front was lost."""
         self._untold.pop(front, None)
 
-    def take(self, news: CrashNews, now: float) -> None:
+    def take(self, news: CrashUpdates, now: float) -> None:
         """A front told what it saw."""
         for record in self.ledger.merge(news.records, now):
             self._news[record.fingerprint] = record
@@ -57,7 +57,7 @@
             self._news.pop(fingerprint, None)
             self._cleared[fingerprint] = None
 
-    def take_from_peer(self, news: CrashNews, now: float) -> None:
+    def take_from_peer(self, news: CrashUpdates, now: float) -> None:
         """Another control instance told, which tells the fronts itself."""
         self.ledger.merge(news.records, now)
         self.ledger.clear(news.cleared)
@@ -81,7 +81,7 @@
         actions: list[ControlAction] = []
         if self._may_tell_news(now):
             self._send_at = now + SPREAD_PERIOD
-            news = CrashNews(list(self._news.values()), list(self._cleared))
+            news = CrashUpdates(list(self._news.values()), list(self._cleared))
             self._news.clear()
             self._cleared.clear()
             actions += [ToFront(front, news) for front in fronts]
@@ -89,7 +89,7 @@
         if is_leader and self._untold:
             records = self.ledger.list_records()
             if records:
-                everything = CrashNews(records, [])
+                everything = CrashUpdates(records, [])
                 actions += [ToFront(front, everything) for front in self._untold]
             self._untold.clear()
         return actions
@@ -99,4 +99,4 @@
         records = self.ledger.list_records()
         if not records:
             return []
-        return [ToInstance(peer, CrashNews(records, []))]  # type: ignore[arg-type]
+        return [ToInstance(peer, CrashUpdates(records, []))]  # type: ignore[arg-type]
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -17,30 +17,30 @@
 from scalebend.core.gateway.front_limits import FrontLimits
 from scalebend.core.gateway.key_lease import KeyLease
 from scalebend.core.gateway.messages import (
-    ControlNews,
-    CrashNews,
-    DrainingHeard,
+    AttemptOutcomes,
+    ControlStatus,
+    CrashUpdates,
+    DrainingReport,
     EjectedUpstreams,
     EndpointChanges,
-    FrontPlace,
+    FrontNumber,
     JobStages,
     KnownInstances,
-    LeaseAnswer,
-    LeaseQuestion,
-    LimitNews,
+    LeaseReply,
+    LeaseRequest,
+    LimitUpdates,
     LinkMessage,
     OpenJobs,
-    OutcomesSeen,
-    RejectionSeen,
+    RejectionReport,
     ReplicaFailures,
     ReplicaPaces,
-    SentAlone,
     Subscribe,
+    UncoordinatedSends,
 )
 from scalebend.core.gateway.placement_choice import NO_REPLICA_PAUSE
 from scalebend.core.gateway.retry_window import RetryWindow
 from scalebend.core.gateway.route_table import RouteTable
-from scalebend.core.gateway.routing_store import RoutingNews, apply_news
+from scalebend.core.gateway.routing_store import RoutingUpdate, apply_update
 from scalebend.core.gateway.service_balancer import ServiceBalancer
 from scalebend.core.gateway.unanswered_attempts import UnansweredAttempts
 from scalebend.core.upstream_backoff import UpstreamBackoffs
@@ -138,7 +138,7 @@
         self._leader_seen_at = now
         self._next_expiry_at = now
         self._was_ready = False
-        self.was_ready = False
+        self.has_been_ready = False
         """Whether this process was ready at any time since its start."""
 
     # Readiness
@@ -166,7 +166,7 @@
 
     # Links
 
-    def note_seeds(self, seeds: list[InstanceId]) -> None:
+    def set_seeds(self, seeds: list[InstanceId]) -> None:
         """Replace the control instances that the settings name."""
         self._seeds = set(seeds)
 
@@ -198,15 +198,15 @@
             self._leader_seen_at = now
             self.limits.note_leader_heard(now)
         match message:
-            case ControlNews():
+            case ControlStatus():
                 return self._apply_control_status(sender, message, now)
             case KnownInstances(instances):
                 # A relay's list may be stale: used only while there is no leader.
                 if self.leader is None:
                     self._announced |= set(instances)
-            case RoutingNews():
+            case RoutingUpdate():
                 return self._apply_routing(sender, message)
-            case LeaseAnswer(asked_at, newest):
+            case LeaseReply(asked_at, newest):
                 held = self.table.routing.version
                 if not self.lease.confirm(asked_at, newest, held):
                     # The newer document may have been lost with a link.
@@ -216,11 +216,11 @@
                 self._apply_ejected(upstreams, now)
             case EndpointChanges(changes):
                 return self._apply_endpoints(changes, now)
-            case LimitNews():
+            case LimitUpdates():
                 self.limits.take(message, now)
-            case FrontPlace() if sender == self.leader:
+            case FrontNumber() if sender == self.leader:
                 self.limits.note_place(message)
-            case CrashNews(records, cleared):
+            case CrashUpdates(records, cleared):
                 self.crashes.merge(records, now)
                 self.crashes.clear(cleared)
         return []
@@ -233,11 +233,13 @@
             actions.append(ToControl(self.leader, self._build_lease_request(now)))
         if self._outcomes and now >= self._next_outcome_report_at:
             self._next_outcome_report_at = now + OUTCOME_REPORT_INTERVAL_S
-            actions += self._send_to_leader(OutcomesSeen(list(self._outcomes.values())))
+            actions += self._send_to_leader(
+                AttemptOutcomes(list(self._outcomes.values()))
+            )
             self._outcomes.clear()
         if self.is_ready(now) != self._was_ready:
             self._was_ready = not self._was_ready
-            self.was_ready = True
+            self.has_been_ready = True
             logger.info(
                 "readiness changed",
                 ready=self._was_ready,
@@ -271,7 +273,7 @@
         return [EndAttempts(ended), *actions] if ended else actions
 
     def _apply_control_status(
-        self, sender: InstanceId, status: ControlNews, now: float
+        self, sender: InstanceId, status: ControlStatus, now: float
     ) -> list[ToControl]:
         self.retries.set_fronts(status.fronts, now)
         self.limits.note_fronts(status.fronts)
@@ -309,19 +311,19 @@
             *self._report_crashes(self.crashes.list_to_tell(now)),
         ]
 
-    def _build_lease_request(self, now: float) -> LeaseQuestion:
-        return LeaseQuestion(now, is_urgent=not self.lease.is_valid(now))
+    def _build_lease_request(self, now: float) -> LeaseRequest:
+        return LeaseRequest(now, is_urgent=not self.lease.is_valid(now))
 
     def _apply_routing(
-        self, sender: InstanceId, update: RoutingNews
+        self, sender: InstanceId, update: RoutingUpdate
     ) -> list[ToControl]:
         held = self.table.routing
         if update.version > held.version:
             base = EMPTY_ROUTING if update.base == 0 else held
-            newer = apply_news(base, update)
+            newer = apply_update(base, update)
             if newer is not None:
                 self.table = RouteTable(newer)
-                self.lease.note_held(newer.version)
+                self.lease.record_document(newer.version)
                 logger.info(
                     "routing applied",
                     version=newer.version,
@@ -345,11 +347,11 @@
         opened = self._jobs.open(work, placement, now)
         if is_uncoordinated:
             reports = self._report_placed_here(opened)
-            return reports + self.note_sent_alone(placement.upstream)
+            return reports + self.record_uncoordinated_send(placement.upstream)
         self._jobs.adopt(opened, self.table.find_engine(work.service), now)
         return []
 
-    def note_replanned(
+    def record_replanned(
         self, work: EngineWork, placement: Placement, now: float
     ) -> None:
         """Record the leader's new placement of a job that is still queued."""
@@ -366,7 +368,7 @@
             self.scheduler, work, endpoints, profile, now
         )
 
-    def leave_out_closed(self, work: EngineWork, now: float) -> EngineWork:
+    def exclude_in_backoff(self, work: EngineWork, now: float) -> EngineWork:
         """Return the work without the replicas that are in backoff for this front.
 
         Backoff is known to this front only, so the leader cannot exclude them.
@@ -377,7 +379,7 @@
         excluded = tuple({*work.excluded, *closed})
         return msgspec.structs.replace(work, excluded=excluded)
 
-    def list_left(self, placement: Placement, now: float) -> set[UpstreamId]:
+    def list_unusable(self, placement: Placement, now: float) -> set[UpstreamId]:
         """Return the replicas of a placement that may not be sent new work any more."""
         return {one for one in placement.upstreams if not self.may_send(one, now)}
 
@@ -420,12 +422,12 @@
             *self._send_to_leader(OpenJobs([opened])),
         ]
 
-    def note_stage(self, stage: JobStage, now: float) -> list[ToControl]:
+    def record_stage(self, stage: JobStage, now: float) -> list[ToControl]:
         """Record the first token or the end of a job."""
         self._jobs.note_stage(stage, now)
         return self._send_to_leader(JobStages([stage]))
 
-    def note_outcome(self, upstream: UpstreamId, *, has_failed: bool) -> None:
+    def record_outcome(self, upstream: UpstreamId, *, has_failed: bool) -> None:
         """Count a response or a failure of an upstream."""
         seen = self._outcomes.get(upstream) or UpstreamOutcomes(upstream, 0, 0)
         self._outcomes[upstream] = UpstreamOutcomes(
@@ -434,20 +436,20 @@
 
     # Rate limits
 
-    def hear_limit(self, heard: HeardLimit, now: float) -> list[ToControl]:
+    def record_limit(self, heard: HeardLimit, now: float) -> list[ToControl]:
         """Record the rate limit in an upstream's response, or that there is none."""
         update = self.limits.hear(heard, now, is_led=self.leader is not None)
         return self._send_to_leader(update) if update is not None else []
 
-    def note_sent_alone(self, upstream: UpstreamId) -> list[ToControl]:
+    def record_uncoordinated_send(self, upstream: UpstreamId) -> list[ToControl]:
         """Report a request that is sent without the leader's send permit."""
         if not self.limits.is_limited(upstream):
             return []
-        return self._send_to_leader(SentAlone([upstream]))
+        return self._send_to_leader(UncoordinatedSends([upstream]))
 
     # Draining upstreams
 
-    def hear_draining(self, upstream: UpstreamId) -> list[ToControl] | None:
+    def record_draining(self, upstream: UpstreamId) -> list[ToControl] | None:
         """Record a drain announced in a response; the registrations may not show it.
 
         Return ``None`` if it was known.
@@ -458,24 +460,24 @@
         return self._report_draining([upstream])
 
     def _report_draining(self, upstreams: list[UpstreamId]) -> list[ToControl]:
-        return self._send_to_leader(DrainingHeard(upstreams)) if upstreams else []
+        return self._send_to_leader(DrainingReport(upstreams)) if upstreams else []
 
     # Crashes and suspect requests
 
-    def note_lost(
+    def record_crash(
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> list[ToControl]:
         """Record that an upstream crashed or disconnected during a request."""
         record = self.crashes.note_lost(fingerprint, upstream, now)
         return self._report_crashes([record]) if record is not None else []
 
-    def note_answered(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
+    def record_completed(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
         """Record that an upstream gave a complete response to the request."""
         if not self.crashes.note_answered(fingerprint, now):
             return []
-        return self._send_to_leader(CrashNews([], [fingerprint]))
+        return self._send_to_leader(CrashUpdates([], [fingerprint]))
 
-    def note_unanswered(
+    def record_unanswered(
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> None:
         """Record an attempt without a response whose connection did not break."""
@@ -494,11 +496,11 @@
         actions = []
         for upstream in ended:
             for fingerprint in self._unanswered.take(upstream):
-                actions += self.note_lost(fingerprint, upstream, now)
+                actions += self.record_crash(fingerprint, upstream, now)
         return actions
 
     def _report_crashes(self, records: list[CrashRecord]) -> list[ToControl]:
-        return self._send_to_leader(CrashNews(records, [])) if records else []
+        return self._send_to_leader(CrashUpdates(records, [])) if records else []
 
     def _apply_ejected(self, upstreams: list[UpstreamId], now: float) -> None:
         logger.info("upstreams ejected", upstreams=upstreams, source=self.leader)
@@ -507,17 +509,17 @@
             # For uncoordinated placement, should the leader be lost.
             self.scheduler.note_failure(upstream, now)
 
-    def note_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
+    def record_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """Record and report a replica that is unreachable or unresponsive."""
         self.scheduler.note_failure(upstream, now)
         return self._send_to_leader(ReplicaFailures([upstream]))
 
-    def note_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
+    def record_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """Record and report that an engine rejected a request without running it."""
         self.scheduler.note_rejection(upstream, now)
-        return self._send_to_leader(RejectionSeen(upstream))
+        return self._send_to_leader(RejectionReport(upstream))
 
-    def note_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
+    def record_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
         """Record and report how slow replicas say they are."""
         for pace in paces:
             self.scheduler.note_pace(pace, now)
--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -9,11 +9,11 @@
 
 from scalebend.core.gateway.limited_placement import LimitedPlacement
 from scalebend.core.gateway.messages import (
-    FrontPlace,
-    LimitNews,
-    LimitsHeard,
-    SendAnswer,
-    SendQuestion,
+    FrontNumber,
+    LimitUpdates,
+    ObservedLimits,
+    SendPermitReply,
+    SendPermitRequest,
 )
 from scalebend.core.request_limits import RequestLimits
 from scalebend.core.send_budget import OwnTurn, SendBudget
@@ -54,7 +54,7 @@
 
     def hear(
         self, heard: HeardLimit, now: float, *, is_led: bool
-    ) -> LimitsHeard | None:
+    ) -> ObservedLimits | None:
         """Take what an answer said; return what the leader is to be told.
 
         The leader decides when a limit is raised or ends, and all are told; a front
@@ -66,13 +66,13 @@
         if heard.rate < known.rate or not is_led:
             changed = self._limits.hear(heard)
             self._note_changes([changed] if changed is not None else [], now)
-        return LimitsHeard([heard]) if is_led else None
+        return ObservedLimits([heard]) if is_led else None
 
-    def take(self, news: LimitNews, now: float) -> None:
+    def take(self, news: LimitUpdates, now: float) -> None:
         """A control instance told what it knows."""
         self._note_changes(self._limits.merge(news.limits), now)
 
-    def note_place(self, place: FrontPlace) -> None:
+    def note_place(self, place: FrontNumber) -> None:
         """The leader told which of how many fronts this one is."""
         self._fronts = place.fronts
         self._number = place.number
@@ -88,15 +88,15 @@
         if self._limits.count_limited():
             self._count_turns(now)
 
-    def grant(self, question: SendQuestion, now: float) -> SendAnswer:
+    def grant(self, question: SendPermitRequest, now: float) -> SendPermitReply:
         """Take one of this front's own turns, if its time has come."""
-        upstream, wait = self.budget.grant(question.upstreams, question.patience, now)
-        return SendAnswer(question.question, upstream, wait)
+        upstream, wait = self.budget.grant(question.upstreams, question.timeout_s, now)
+        return SendPermitReply(question.request_id, upstream, wait)
 
-    def build_news(self) -> LimitNews | None:
+    def build_news(self) -> LimitUpdates | None:
         """What a new leader is to be told."""
         limits = self._limits.list_all()
-        return LimitNews(limits) if limits else None
+        return LimitUpdates(limits) if limits else None
 
     def expire(self, upstreams: Iterable[UpstreamId], now: float) -> None:
         """Forget upstreams that are gone for long, and prompts that were sent."""
--- a/src/scalebend/core/gateway/key_lease.py
+++ b/src/scalebend/core/gateway/key_lease.py
@@ -45,7 +45,7 @@
         """Apply the leader's reply to the request that was sent at ``asked_at``.
 
         Return whether ``held`` is the newest document. Otherwise the reply is kept, and
-        :meth:`note_held` extends the lease once the newer document has arrived.
+        :meth:`record_document` extends the lease once the newer document has arrived.
         """
         if held < newest:
             if self._early_reply is None or asked_at >= self._early_reply.asked_at:
@@ -55,7 +55,7 @@
             self._asked_at = asked_at
         return True
 
-    def note_held(self, held: RoutingVersion) -> None:
+    def record_document(self, held: RoutingVersion) -> None:
         """Extend the lease by a reply that arrived before the document ``held``."""
         early = self._early_reply
         if early is not None and held >= early.newest:
--- a/src/scalebend/core/gateway/leader_placement.py
+++ b/src/scalebend/core/gateway/leader_placement.py
@@ -13,7 +13,7 @@
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.limit_exchange import LimitExchange
-from scalebend.core.gateway.messages import PlaceAnswer
+from scalebend.core.gateway.messages import PlacementReply
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.models.ids import InstanceId, UpstreamId
 from scalebend.models.placement import (
@@ -85,18 +85,18 @@
         now: float,
         *,
         may_grant: bool,
-    ) -> PlaceAnswer:
+    ) -> PlacementReply:
         """Choose replicas; limited ones are left out unless it ``may_grant``."""
         profile = table.find_engine(work.service)
         if profile is None or self.is_learning(now):
-            return PlaceAnswer(work.job)
+            return PlacementReply(work.job)
         endpoints = directory.list_usable(work.service)
         placed = self._limits.place(
             self.scheduler, work, endpoints, profile, now, may_grant=may_grant
         )
         if isinstance(placed, Declined):
-            return PlaceAnswer(work.job, declined=placed)
-        return PlaceAnswer(work.job, placed)
+            return PlacementReply(work.job, declined=placed)
+        return PlacementReply(work.job, placed)
 
     def log_summary(self, fronts: int, now: float) -> None:
         """Write what is believed of the engines to the log."""
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -16,10 +16,10 @@
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.limited_placement import LimitedPlacement
 from scalebend.core.gateway.messages import (
-    FrontPlace,
-    LimitNews,
-    SendAnswer,
-    SendQuestion,
+    FrontNumber,
+    LimitUpdates,
+    SendPermitReply,
+    SendPermitRequest,
 )
 from scalebend.core.request_limits import RequestLimits
 from scalebend.core.send_budget import GrantedPart, SendBudget
@@ -150,7 +150,7 @@
         actions = self._tell_places() if self._is_resized else []
         if self._news:
             # One message for all, which is encoded once.
-            news = LimitNews(list(self._news.values()))
+            news = LimitUpdates(list(self._news.values()))
             self._news.clear()
             actions += [ToFront(front, news) for front in self._linked]
         return actions
@@ -158,13 +158,13 @@
     def greet(self, front: InstanceId) -> list[ToFront]:
         """Tell a front that was just linked all limits, before it sends anything."""
         limits = self.limits.list_all()
-        return [ToFront(front, LimitNews(limits))] if limits else []
+        return [ToFront(front, LimitUpdates(limits))] if limits else []
 
     def _tell_places(self) -> list[ToFront]:
         self._is_resized = False
         fronts = len(self._linked) + len(self._missing)
         return [
-            ToFront(front, FrontPlace(fronts, number))
+            ToFront(front, FrontNumber(fronts, number))
             for number, front in enumerate(self._linked)
         ]
 
@@ -187,12 +187,12 @@
         return self.placement.place(scheduler, work, endpoints, profile, now)
 
     def answer(
-        self, question: SendQuestion, now: float, *, may_grant: bool
-    ) -> SendAnswer:
+        self, question: SendPermitRequest, now: float, *, may_grant: bool
+    ) -> SendPermitReply:
         """Grant a send to one of the upstreams, now or within the asker's patience."""
         if not may_grant:
             _, wait = self.budget.find_soonest(question.upstreams, now)
             # By then it is known who leads.
-            return SendAnswer(question.question, None, max(wait, GRANT_LIFE))
-        upstream, wait = self.budget.grant(question.upstreams, question.patience, now)
-        return SendAnswer(question.question, upstream, wait)
+            return SendPermitReply(question.request_id, None, max(wait, GRANT_LIFE))
+        upstream, wait = self.budget.grant(question.upstreams, question.timeout_s, now)
+        return SendPermitReply(question.request_id, upstream, wait)
--- a/src/scalebend/core/gateway/messages.py
+++ b/src/scalebend/core/gateway/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from scalebend.core.consensus.messages import ConsensusMessage
-from scalebend.core.gateway.routing_store import RoutingNews
+from scalebend.core.gateway.routing_store import RoutingUpdate
 from scalebend.core.messages import Found, Hello, HelloReply, Join, RelayReply
 from scalebend.models.crashes import CrashRecord
 from scalebend.models.endpoints import EndpointNews, UpstreamOutcomes
@@ -39,7 +39,7 @@
     role: GatewayRole
 
 
-class ControlNews(msgspec.Struct, frozen=True, tag=True):
+class ControlStatus(msgspec.Struct, frozen=True, tag="ControlNews"):
     """Control instance to front, also as a heartbeat: the leader and the instances."""
 
     instances: list[InstanceId]
@@ -67,7 +67,7 @@
     is_wanted: bool = True
 
 
-class LeaseQuestion(msgspec.Struct, frozen=True, tag=True):
+class LeaseRequest(msgspec.Struct, frozen=True, tag="LeaseQuestion"):
     """Front to leader: request for a lease on the newest routing document."""
 
     asked_at: float
@@ -75,7 +75,7 @@
     """Whether the front has no valid lease and so rejects requests."""
 
 
-class LeaseAnswer(msgspec.Struct, frozen=True, tag=True):
+class LeaseReply(msgspec.Struct, frozen=True, tag="LeaseAnswer"):
     """Leader to front, once a quorum confirmed its lead after the request."""
 
     asked_at: float
@@ -85,22 +85,22 @@
 class EndpointChanges(msgspec.Struct, frozen=True, tag=True):
     """Control instance to fronts: changed upstreams; all of them at first."""
 
-    news: list[EndpointNews]
+    changes: list[EndpointNews] = msgspec.field(name="news")
 
 
 class Registrations(msgspec.Struct, frozen=True, tag=True):
     """Control instance to the others: registrations it received, changed or not."""
 
-    news: list[EndpointNews]
+    registrations: list[EndpointNews] = msgspec.field(name="news")
 
 
-class PlaceQuestion(msgspec.Struct, frozen=True, tag=True):
+class PlacementRequest(msgspec.Struct, frozen=True, tag="PlaceQuestion"):
     """Front to leader: request to place a job."""
 
     work: EngineWork
 
 
-class PlaceAnswer(msgspec.Struct, frozen=True, tag=True):
+class PlacementReply(msgspec.Struct, frozen=True, tag="PlaceAnswer"):
     """Control instance to front; without placement and refusal if it isn't leader."""
 
     job: JobId
@@ -126,7 +126,7 @@
     paces: list[ReplicaPace]
 
 
-class OutcomesSeen(msgspec.Struct, frozen=True, tag=True):
+class AttemptOutcomes(msgspec.Struct, frozen=True, tag="OutcomesSeen"):
     """Front to leader: outcomes of attempts since the last such message."""
 
     outcomes: list[UpstreamOutcomes]
@@ -138,7 +138,7 @@
     upstreams: list[UpstreamId]
 
 
-class CrashNews(msgspec.Struct, frozen=True, tag=True):
+class CrashUpdates(msgspec.Struct, frozen=True, tag="CrashNews"):
     """Any process to another: requests during which upstreams crashed.
 
     ``cleared`` are requests that an upstream completed later.
@@ -148,58 +148,58 @@
     cleared: list[Fingerprint]
 
 
-class LimitsHeard(msgspec.Struct, frozen=True, tag=True):
+class ObservedLimits(msgspec.Struct, frozen=True, tag="LimitsHeard"):
     """Front to leader: rate limits that upstreams named in responses."""
 
     heard: list[HeardLimit]
 
 
-class LimitNews(msgspec.Struct, frozen=True, tag=True):
+class LimitUpdates(msgspec.Struct, frozen=True, tag="LimitNews"):
     """Leader to fronts: changed rate limits; front to a new leader: all it knows."""
 
     limits: list[RequestLimit]
 
 
-class RejectionSeen(msgspec.Struct, frozen=True, tag=True):
+class RejectionReport(msgspec.Struct, frozen=True, tag="RejectionSeen"):
     """Front to leader: an engine rejected a request without running it."""
 
     upstream: UpstreamId
 
 
-class DrainingHeard(msgspec.Struct, frozen=True, tag=True):
+class DrainingReport(msgspec.Struct, frozen=True, tag="DrainingHeard"):
     """Front to leader: upstreams that announced a drain in responses."""
 
     upstreams: list[UpstreamId]
 
 
-class FrontPlace(msgspec.Struct, frozen=True, tag=True):
+class FrontNumber(msgspec.Struct, frozen=True, tag="FrontPlace"):
     """Leader to front: its number among all fronts, used if the leader is lost."""
 
     fronts: int
     number: int
 
 
-class SendQuestion(msgspec.Struct, frozen=True, tag=True):
+class SendPermitRequest(msgspec.Struct, frozen=True, tag="SendQuestion"):
     """Front to leader: request to send to one of these rate-limited upstreams."""
 
-    question: SendId
+    request_id: SendId = msgspec.field(name="question")
     upstreams: list[UpstreamId]
-    patience: float
-    """Seconds for which the request may wait."""
+    timeout_s: float = msgspec.field(name="patience")
+    """How long the request may wait."""
 
 
-class SendAnswer(msgspec.Struct, frozen=True, tag=True):
+class SendPermitReply(msgspec.Struct, frozen=True, tag="SendAnswer"):
     """Leader to front: permit to send to ``upstream`` after ``wait`` seconds.
 
     Without an upstream there is no permit; one has capacity after ``wait`` seconds.
     """
 
-    question: SendId
+    request_id: SendId = msgspec.field(name="question")
     upstream: UpstreamId | None
     wait: float
 
 
-class SentAlone(msgspec.Struct, frozen=True, tag=True):
+class UncoordinatedSends(msgspec.Struct, frozen=True, tag="SentAlone"):
     """Front to leader: rate-limited upstreams that got a request without a permit."""
 
     upstreams: list[UpstreamId]
@@ -214,32 +214,32 @@
 LinkMessage = (
     ConsensusMessage
     | Introduce
-    | ControlNews
+    | ControlStatus
     | KnownInstances
     | Heartbeat
     | Subscribe
-    | LeaseQuestion
-    | LeaseAnswer
+    | LeaseRequest
+    | LeaseReply
     | EndpointChanges
     | Registrations
-    | RoutingNews
-    | PlaceQuestion
-    | PlaceAnswer
+    | RoutingUpdate
+    | PlacementRequest
+    | PlacementReply
     | JobStages
     | ReplicaFailures
     | ReplicaPaces
-    | OutcomesSeen
+    | AttemptOutcomes
     | EjectedUpstreams
     | OpenJobs
-    | CrashNews
-    | LimitsHeard
-    | LimitNews
-    | RejectionSeen
-    | DrainingHeard
-    | FrontPlace
-    | SendQuestion
-    | SendAnswer
-    | SentAlone
+    | CrashUpdates
+    | ObservedLimits
+    | LimitUpdates
+    | RejectionReport
+    | DrainingReport
+    | FrontNumber
+    | SendPermitRequest
+    | SendPermitReply
+    | UncoordinatedSends
     | Hello
     | HelloReply
     | RelayReply
--- a/src/scalebend/core/gateway/relay_instance.py
+++ b/src/scalebend/core/gateway/relay_instance.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from scalebend.core.gateway.messages import ControlNews, KnownInstances, LinkMessage
+from scalebend.core.gateway.messages import ControlStatus, KnownInstances, LinkMessage
 from scalebend.core.messages import Hello, RelayReply
 from scalebend.models.ids import InstanceId, Term
 
@@ -38,7 +38,7 @@
         """Control processes to keep a link to."""
         return (self._seeds | self._told | self._linked) - {self.me}
 
-    def note_seeds(self, seeds: list[InstanceId]) -> None:
+    def set_seeds(self, seeds: list[InstanceId]) -> None:
         """The settings name these control processes now."""
         self._seeds = set(seeds)
 
@@ -60,10 +60,10 @@
                 self._relays.add(sender)
                 if self._leader is None:
                     self._told |= set(instances)
-            case ControlNews():
+            case ControlStatus():
                 self._take_control_news(sender, message)
 
-    def _take_control_news(self, sender: InstanceId, news: ControlNews) -> None:
+    def _take_control_news(self, sender: InstanceId, news: ControlStatus) -> None:
         is_current = news.leader is not None and news.term >= self._term
         if not is_current or news.leader not in news.instances:
             # A member that was cut off, or has a new disk, may name only some.
--- a/src/scalebend/core/gateway/routing_push.py
+++ b/src/scalebend/core/gateway/routing_push.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from scalebend.core.gateway.control_actions import ToFront
-from scalebend.core.gateway.routing_store import RoutingNews, build_news
+from scalebend.core.gateway.routing_store import RoutingUpdate, build_update
 from scalebend.models.ids import InstanceId, RoutingVersion
 from scalebend.models.routing import EMPTY_ROUTING, Routing
 
@@ -46,7 +46,7 @@
         self._history: dict[RoutingVersion, Routing] = {
             EMPTY_ROUTING.version: EMPTY_ROUTING
         }
-        self._packed: dict[RoutingVersion, RoutingNews] = {}
+        self._packed: dict[RoutingVersion, RoutingUpdate] = {}
         """What fronts that hold a version are sent for the newest one."""
 
         self._fronts: dict[InstanceId, _Front] = {}
@@ -131,9 +131,9 @@
         state.sent = self.routing.version
         return [ToFront(front, self._find_news(state))]
 
-    def _find_news(self, state: _Front) -> RoutingNews:
+    def _find_news(self, state: _Front) -> RoutingUpdate:
         base = self._history.get(state.held, EMPTY_ROUTING)
         news = self._packed.get(base.version)
         if news is None:
-            news = self._packed[base.version] = build_news(base, self.routing)
+            news = self._packed[base.version] = build_update(base, self.routing)
         return news
--- a/src/scalebend/core/gateway/routing_store.py
+++ b/src/scalebend/core/gateway/routing_store.py
@@ -33,7 +33,7 @@
     path_prefix: str
 
 
-class RoutingNews(msgspec.Struct, frozen=True, tag=True):
+class RoutingUpdate(msgspec.Struct, frozen=True, tag="RoutingNews"):
     """Difference from version ``base`` to ``version``; base 0 is the empty document.
 
     A large change goes to many fronts at once, over links that also carry replies to
@@ -82,7 +82,7 @@
     return zlib.decompress(stored.document)
 
 
-def build_news(base: Routing, newer: Routing) -> RoutingNews:
+def build_update(base: Routing, newer: Routing) -> RoutingUpdate:
     """Return the differences from ``base`` to ``newer``."""
     old_routes = _index_routes(base)
     new_routes = _index_routes(newer)
@@ -101,14 +101,14 @@
         _list_removed(old_customers, new_customers),
     )
     packed = zlib.compress(msgspec.msgpack.encode(changes), COMPRESSION_LEVEL)
-    return RoutingNews(base.version, newer.version, packed)
+    return RoutingUpdate(base.version, newer.version, packed)
 
 
-def apply_news(base: Routing, news: RoutingNews) -> Routing | None:
+def apply_update(base: Routing, update: RoutingUpdate) -> Routing | None:
     """Return the newer document; ``None`` if ``base`` isn't the update's base."""
-    if base.version != news.base:
+    if base.version != update.base:
         return None
-    changes = _CHANGES_DECODER.decode(zlib.decompress(news.packed))
+    changes = _CHANGES_DECODER.decode(zlib.decompress(update.packed))
     routes = _index_routes(base)
     for route_key in changes.removed_routes:
         routes.pop(route_key, None)
@@ -123,7 +123,7 @@
         customers.pop(customer_name, None)
     customers |= {customer.name: customer for customer in changes.customers}
     return Routing(
-        news.version,
+        update.version,
         tuple(routes.values()),
         tuple(services.values()),
         changes.limits,
--- a/src/scalebend/edges/gateway/control_server.py
+++ b/src/scalebend/edges/gateway/control_server.py
@@ -54,8 +54,8 @@
             address = settings.link_listen or settings.link_address
             links = run_links(address, runtime.server, runtime.dialer, runtime.run())
             await stack.enter_async_context(links)
-            note_seeds = runtime.instance.member.note_instances
-            await stack.enter_async_context(watch.tell(note_seeds))
+            set_seeds = runtime.instance.member.note_instances
+            await stack.enter_async_context(watch.tell(set_seeds))
             # Votes are cast meanwhile.
             calls = await load_http(
                 "scalebend.edges.gateway.control_calls",
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -142,7 +142,7 @@
                 # A whole answer, even of a failure: it survived the request.
                 runtime.note_answered(self._fingerprint)
             if ended.outcome is Outcome.ANSWERED:
-                runtime.instance.note_outcome(target.upstream, has_failed=False)
+                runtime.instance.record_outcome(target.upstream, has_failed=False)
                 assert ended.answer is not None
                 return ended.answer
             judged = self._judge(target, ended)
@@ -176,7 +176,7 @@
         if ended.outcome is Outcome.REJECTED and target.job is not None:
             runtime.note_rejection(faulty)
         if ended.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
-            runtime.instance.note_outcome(faulty, has_failed=True)
+            runtime.instance.record_outcome(faulty, has_failed=True)
         decision = self._attempts.decide(
             ended.outcome,
             faulty,
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -179,7 +179,7 @@
         instance = self._runtime.instance
         if instance.may_admit(now):
             return
-        pause = RETRY_LATER if instance.was_ready else STARTING_PAUSE
+        pause = RETRY_LATER if instance.has_been_ready else STARTING_PAUSE
         raise RefusedError(
             "the routing document may be outdated here",
             kind=ErrorKind.NOT_READY,
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -21,8 +21,8 @@
     Heartbeat,
     Introduce,
     LinkMessage,
-    SendAnswer,
-    SendQuestion,
+    SendPermitReply,
+    SendPermitRequest,
 )
 from scalebend.core.gateway.placement_repair import drop_replicas
 from scalebend.core.gateway.placement_turn import (
@@ -203,7 +203,7 @@
 
     async def place(self, work: EngineWork) -> Decision:
         """Ask the leader where to run; decide alone if it does not answer in time."""
-        work = self.instance.leave_out_closed(work, self.now())
+        work = self.instance.exclude_in_backoff(work, self.now())
         leader = self.instance.leader
         answer = await self._leader_calls.place(leader, work)
         placed: Placement | Declined | None = None
@@ -232,7 +232,7 @@
             renewed = renew_work(work, REPLAN_PERIOD)
             answer = await self._leader_calls.place(
                 self.instance.leader,
-                self.instance.leave_out_closed(renewed, self.now()),
+                self.instance.exclude_in_backoff(renewed, self.now()),
                 may_pause=False,
             )
             waited = self.now() - asked_at
@@ -246,14 +246,14 @@
                 placement = keep_turn(placement, waited)
                 continue
             placement = placed
-            self.instance.note_replanned(work, placement, self.now())
+            self.instance.record_replanned(work, placement, self.now())
         if placement.start_in >= LEAST_WAIT:
             await asyncio.sleep(min(placement.start_in, max(0.0, work.remaining)))
         return placement
 
     def keep_staying(self, work: EngineWork, placement: Placement) -> Placement | None:
         """The placement without replicas that take nothing; ``None``: place anew."""
-        left = self.instance.list_left(placement, self.now())
+        left = self.instance.list_unusable(placement, self.now())
         if not left:
             return placement
         kept = drop_replicas(placement, left)
@@ -273,31 +273,31 @@
 
     async def request_send(
         self, upstreams: list[UpstreamId], patience: float
-    ) -> SendAnswer:
+    ) -> SendPermitReply:
         """Ask the leader for a send to one of some limited upstreams.
 
         Without an answer this front has its own turns, and tells what it sends.
         """
         self._sends += 1
-        question = SendQuestion(SendId(self._sends), upstreams, patience)
+        question = SendPermitRequest(SendId(self._sends), upstreams, patience)
         answer = await self._leader_calls.request_send(self.instance.leader, question)
         if answer is not None:
             return answer
         alone = self.instance.limits.grant(question, self.now())
         if alone.upstream is not None:
-            self._execute(self.instance.note_sent_alone(alone.upstream))
+            self._execute(self.instance.record_uncoordinated_send(alone.upstream))
         return alone
 
     def note_first_token(self, job: JobId, load: LoadReading | None) -> None:
         """The first event of a job came, with the replica's own count of its load."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
-        self._execute(self.instance.note_stage(stage, self.now()))
+        self._execute(self.instance.record_stage(stage, self.now()))
 
     def note_job_ended(self, job: JobId) -> None:
         """A job ended, well or not."""
         stage = JobStage(job, is_ended=True)
-        self._execute(self.instance.note_stage(stage, self.now()))
+        self._execute(self.instance.record_stage(stage, self.now()))
 
     async def inspect(self, placement: Placement) -> list[UpstreamId]:
         """Ask the replicas which of them is slow; return those that do not answer."""
@@ -305,7 +305,7 @@
         addresses[placement.upstream] = placement.address
         assert self._inspector is not None
         inspection = await self._inspector.inspect(addresses, self.now())
-        self._execute(self.instance.note_paces(inspection.paces, self.now()))
+        self._execute(self.instance.record_paces(inspection.paces, self.now()))
         for upstream in inspection.silent:
             self.note_replica_failure(upstream)
         return self._inspector.list_silent(addresses, self.now())
@@ -318,7 +318,7 @@
 
     def hear_limit(self, heard: HeardLimit) -> None:
         """An upstream's answer named the requests a second that it takes, or none."""
-        self._execute(self.instance.hear_limit(heard, self.now()))
+        self._execute(self.instance.record_limit(heard, self.now()))
 
     def hear_backoff(self, upstream: UpstreamId, seconds: float) -> None:
         """An upstream turned a request away, and wants nothing for so long."""
@@ -327,7 +327,7 @@
 
     def hear_draining(self, upstream: UpstreamId) -> bool:
         """An upstream said in an answer that it leaves; whether that is news."""
-        actions = self.instance.hear_draining(upstream)
+        actions = self.instance.record_draining(upstream)
         self._execute(actions or [])
         return actions is not None
 
@@ -353,23 +353,23 @@
     def note_lost(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         """An upstream ended, or cut the request off, while it ran it."""
         self.metrics.count_lost_request()
-        self._execute(self.instance.note_lost(fingerprint, upstream, self.now()))
+        self._execute(self.instance.record_crash(fingerprint, upstream, self.now()))
 
     def note_unanswered(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         """An attempt got no answer, and its connection did not end."""
-        self.instance.note_unanswered(fingerprint, upstream, self.now())
+        self.instance.record_unanswered(fingerprint, upstream, self.now())
 
     def note_answered(self, fingerprint: Fingerprint) -> None:
         """An upstream gave a whole answer to the request."""
-        self._execute(self.instance.note_answered(fingerprint, self.now()))
+        self._execute(self.instance.record_completed(fingerprint, self.now()))
 
     def note_rejection(self, upstream: UpstreamId) -> None:
         """An engine turned a request away that it had not run."""
-        self._execute(self.instance.note_rejection(upstream, self.now()))
+        self._execute(self.instance.record_rejection(upstream, self.now()))
 
     def note_replica_failure(self, upstream: UpstreamId) -> None:
         """A replica could not be reached, or fell silent."""
-        self._execute(self.instance.note_failure(upstream, self.now()))
+        self._execute(self.instance.record_failure(upstream, self.now()))
 
 
 @contextlib.asynccontextmanager
--- a/src/scalebend/edges/gateway/leader_calls.py
+++ b/src/scalebend/edges/gateway/leader_calls.py
@@ -9,10 +9,10 @@
 
 from scalebend.core.gateway.messages import (
     LinkMessage,
-    PlaceAnswer,
-    PlaceQuestion,
-    SendAnswer,
-    SendQuestion,
+    PlacementReply,
+    PlacementRequest,
+    SendPermitReply,
+    SendPermitRequest,
 )
 from scalebend.core.gateway.patience import LEADER_PAUSE, PLACE_TIMEOUT
 from scalebend.models.ids import InstanceId, SendId
@@ -20,7 +20,7 @@
 
 logger = structlog.get_logger(__name__)
 
-_Answer = PlaceAnswer | SendAnswer
+_Answer = PlacementReply | SendPermitReply
 
 
 class LeaderCalls:
@@ -35,9 +35,9 @@
     def take(self, message: LinkMessage) -> bool:
         """Take a message, if it is an answer; one that is late is dropped."""
         match message:
-            case PlaceAnswer(job=name):
+            case PlacementReply(job=name):
                 future = self._waiting.pop(name, None)
-            case SendAnswer(question=number):
+            case SendPermitReply(request_id=number):
                 future = self._waiting.pop(number, None)
             case _:
                 return False
@@ -51,25 +51,25 @@
 
     async def place(
         self, leader: InstanceId | None, work: EngineWork, *, may_pause: bool = True
-    ) -> PlaceAnswer | None:
+    ) -> PlacementReply | None:
         """Where work should run; ``None`` if the leader does not answer in time."""
-        question = PlaceQuestion(work)
+        question = PlacementRequest(work)
         answer = await self._ask(leader, work.job, question, may_pause=may_pause)
-        return answer if isinstance(answer, PlaceAnswer) else None
+        return answer if isinstance(answer, PlacementReply) else None
 
     async def request_send(
-        self, leader: InstanceId | None, question: SendQuestion
-    ) -> SendAnswer | None:
+        self, leader: InstanceId | None, question: SendPermitRequest
+    ) -> SendPermitReply | None:
         """Whether a request may be sent to a limited upstream."""
-        name = question.question
+        name = question.request_id
         answer = await self._ask(leader, name, question, may_pause=True)
-        return answer if isinstance(answer, SendAnswer) else None
+        return answer if isinstance(answer, SendPermitReply) else None
 
     async def _ask(
         self,
         leader: InstanceId | None,
         name: JobId | SendId,
-        question: PlaceQuestion | SendQuestion,
+        question: PlacementRequest | SendPermitRequest,
         *,
         may_pause: bool,
     ) -> _Answer | None:
--- a/src/scalebend/edges/gateway/relay_server.py
+++ b/src/scalebend/edges/gateway/relay_server.py
@@ -105,7 +105,7 @@
         address = settings.link_listen or settings.link_address
         links = run_links(address, runtime.server, runtime.dialer, runtime.run())
         await stack.enter_async_context(links)
-        await stack.enter_async_context(watch.tell(runtime.instance.note_seeds))
+        await stack.enter_async_context(watch.tell(runtime.instance.set_seeds))
         sock = Listeners().take(settings.control_address)
         await stack.enter_async_context(listen(sock, runtime.handle))
         logger.info("relay listens", instance=settings.name)
--- a/tests/lib/gateway_group.py
+++ b/tests/lib/gateway_group.py
@@ -7,7 +7,7 @@
 from scalebend.core.gateway.control_actions import ToFront
 from scalebend.core.gateway.control_instance import ControlInstance
 from scalebend.core.gateway.front_instance import FrontInstance, ToControl
-from scalebend.core.gateway.messages import PlaceQuestion
+from scalebend.core.gateway.messages import PlacementRequest
 from scalebend.core.gateway.routing_store import pack_routing
 from scalebend.models.ids import InstanceId, Term
 from scalebend.models.placement import JobStage, Placement
@@ -111,7 +111,7 @@
                 self._send(name, front.advance(self.now))
         return actions
 
-    def choose_service(self, front, chance):
+    def choose_upstream(self, front, chance):
         """The replica that a front would send a plain call to."""
         usable = front.directory.list_usable(SERVICE)
         zone = front.settings.availability_zone
@@ -120,14 +120,14 @@
     def place(self, front, work):
         """Ask the leader, as a front does, and tell it what became of it."""
         number = self.fronts.index(front)
-        work = front.leave_out_closed(work, self.now)
+        work = front.exclude_in_backoff(work, self.now)
         if front.leader is None:
             placed = front.place(work, self.now)
             if isinstance(placed, Placement):
                 told = front.open_job(work, placed, self.now, is_uncoordinated=True)
                 self._send(self.names[number], told)
             return placed
-        question = PlaceQuestion(work)
+        question = PlacementRequest(work)
         (action,) = self.leader.handle_front(self.names[number], question, self.now)
         placed = action.message.placement or action.message.declined
         if isinstance(placed, Placement):
@@ -135,9 +135,9 @@
             self._send(self.names[number], told)
         return placed
 
-    def note_stage(self, front, job, *, is_ended):
+    def record_stage(self, front, job, *, is_ended):
         """A front saw a job's first token, or its end."""
-        told = front.note_stage(JobStage(job, is_ended), self.now)
+        told = front.record_stage(JobStage(job, is_ended), self.now)
         self._send(self.names[self.fronts.index(front)], told)
 
     def renew(self):
@@ -152,20 +152,20 @@
         self._deliver(self.leader.register(endpoint, self.now))
         self.run(TICK)
 
-    def hear_draining(self, number, upstream):
+    def record_draining(self, number, upstream):
         """An answer at a front said that its replica leaves."""
-        told = self.fronts[number].hear_draining(upstream)
+        told = self.fronts[number].record_draining(upstream)
         self._send(self.names[number], told or [])
 
-    def hear_limit(self, front, heard):
+    def record_limit(self, front, heard):
         """An answer at a front named what its replica takes."""
         self._send(
-            self.names[self.fronts.index(front)], front.hear_limit(heard, self.now)
+            self.names[self.fronts.index(front)], front.record_limit(heard, self.now)
         )
 
-    def note_rejection(self, front, upstream):
+    def record_rejection(self, front, upstream):
         """An engine turned a front's request away."""
-        told = front.note_rejection(upstream, self.now)
+        told = front.record_rejection(upstream, self.now)
         self._send(self.names[self.fronts.index(front)], told)
 
     def _send(self, name, actions):
--- a/tests/unit/gateway/test_backoff.py
+++ b/tests/unit/gateway/test_backoff.py
@@ -204,7 +204,7 @@
     assert closed in placed.upstreams
     deployment.run(3.1)
     work = build_quick(902)
-    assert asked.leave_out_closed(work, deployment.now) == work
+    assert asked.exclude_in_backoff(work, deployment.now) == work
 
 
 def test_front_alone_keeps_the_pause():
@@ -223,10 +223,10 @@
     deployment = build_deployment(1, 18, has_engines=True)
     (front,) = deployment.fronts
     placed = deployment.place(front, build_work(1, 300_000))
-    assert front.list_left(placed, deployment.now) == set()
+    assert front.list_unusable(placed, deployment.now) == set()
     helper = placed.helpers[0].upstream
     front.backoffs.hear(helper, 3.0, deployment.now)
-    assert front.list_left(placed, deployment.now) == {helper}
+    assert front.list_unusable(placed, deployment.now) == {helper}
 
 
 def test_next_incarnation_owes_nothing_to_the_pause_of_the_last():
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -12,18 +12,18 @@
 from scalebend.core.gateway.control_instance import ControlInstance
 from scalebend.core.gateway.leader_placement import LEARNING_TIME
 from scalebend.core.gateway.messages import (
-    ControlNews,
+    ControlStatus,
     EndpointChanges,
     JobStages,
-    LeaseAnswer,
-    LeaseQuestion,
+    LeaseReply,
+    LeaseRequest,
     OpenJobs,
-    PlaceAnswer,
-    PlaceQuestion,
+    PlacementReply,
+    PlacementRequest,
     Registrations,
     Subscribe,
 )
-from scalebend.core.gateway.routing_store import RoutingNews, pack_routing
+from scalebend.core.gateway.routing_store import RoutingUpdate, pack_routing
 from scalebend.models.endpoints import EndpointNews
 from scalebend.models.ids import InstanceId, Term
 from scalebend.models.placement import JobStage, OpenJob, Placement
@@ -99,14 +99,14 @@
     assert not list_to_fronts(again, EndpointChanges)
     left = single.instance.remove("i-1", single.now)
     (changes,) = list_to_fronts(left, EndpointChanges)
-    assert changes.news[0].is_gone
+    assert changes.changes[0].is_gone
 
 
 def test_new_link_between_control_instances_carries_everything(single):
     single.instance.register(build_endpoint(), single.now)
     single.instance.remove("i-1", single.now)
     (action,) = single.instance.introduce(InstanceId("10.1.0.2:7000"))
-    assert action.message.news[0].is_gone
+    assert action.message.registrations[0].is_gone
 
 
 def test_upstream_that_others_hear_is_told_to_fronts(single):
@@ -119,15 +119,15 @@
 def test_front_gets_one_document_at_a_time_and_then_the_newest(single):
     single.instance.add_front(FRONT, single.now)
     single.instance.handle_front(FRONT, Subscribe(0), single.now)
-    sent = list_to_fronts(single.put(build_routing(1)), RoutingNews)
+    sent = list_to_fronts(single.put(build_routing(1)), RoutingUpdate)
     assert [news.version for news in sent] == [1]
     routes = [build_route(path_prefix=f"/{n}/") for n in range(3)]
     for version in (2, 3, 4):
         assert not list_to_fronts(
-            single.put(build_routing(version, routes[: version - 1])), RoutingNews
+            single.put(build_routing(version, routes[: version - 1])), RoutingUpdate
         )
     actions = single.instance.handle_front(FRONT, Subscribe(1), single.now)
-    (news,) = list_to_fronts(actions, RoutingNews)
+    (news,) = list_to_fronts(actions, RoutingUpdate)
     assert (news.base, news.version) == (1, 4)
 
 
@@ -136,12 +136,12 @@
     for front in fronts:
         single.instance.add_front(front, single.now)
         single.instance.handle_front(front, Subscribe(0), single.now)
-    first, *others = list_to_fronts(single.put(build_routing(1)), RoutingNews)
+    first, *others = list_to_fronts(single.put(build_routing(1)), RoutingUpdate)
     assert len(others) == 2
     assert all(news is first for news in others)
     for front in fronts:
         single.instance.handle_front(front, Subscribe(1), single.now)
-    (second, *_) = list_to_fronts(single.put(build_routing(2)), RoutingNews)
+    (second, *_) = list_to_fronts(single.put(build_routing(2)), RoutingUpdate)
     assert (second.base, second.version) == (1, 2)
 
 
@@ -155,10 +155,10 @@
 def test_lease_names_the_newest_document(single):
     single.put(build_routing(5))
     single.instance.add_front(FRONT, single.now)
-    actions = single.instance.handle_front(FRONT, LeaseQuestion(7.5), single.now)
+    actions = single.instance.handle_front(FRONT, LeaseRequest(7.5), single.now)
     actions += single.run(0.3)
-    (answer,) = list_to_fronts(actions, LeaseAnswer)
-    assert answer == LeaseAnswer(7.5, 5)
+    (answer,) = list_to_fronts(actions, LeaseReply)
+    assert answer == LeaseReply(7.5, 5)
 
 
 def test_reader_is_answered_after_a_quorum_confirmed(single):
@@ -172,8 +172,8 @@
     single.instance.register(build_endpoint(), single.now)
     single.instance.add_front(FRONT, single.now)
     work = build_quick(1)
-    actions = single.instance.handle_front(FRONT, PlaceQuestion(work), single.now)
-    (answer,) = list_to_fronts(actions, PlaceAnswer)
+    actions = single.instance.handle_front(FRONT, PlacementRequest(work), single.now)
+    (answer,) = list_to_fronts(actions, PlacementReply)
     assert answer.placement.upstream == "i-1"
     stages = JobStages([JobStage(work.job, is_ended=True)])
     single.instance.handle_front(FRONT, stages, single.now)
@@ -184,8 +184,8 @@
     single.put(build_routing(1, services=[build_service(engine=PROFILE)]))
     single.instance.register(build_endpoint(), single.now)
     single.instance.add_front(FRONT, single.now)
-    single.instance.handle_front(FRONT, PlaceQuestion(build_quick(1)), single.now)
-    news = list_to_fronts(single.run(0.6), ControlNews)
+    single.instance.handle_front(FRONT, PlacementRequest(build_quick(1)), single.now)
+    news = list_to_fronts(single.run(0.6), ControlStatus)
     assert [busy.upstream for busy in news[0].busy] == ["i-1"]
 
 
@@ -205,7 +205,7 @@
 
 
 def ask(single, number):
-    question = PlaceQuestion(build_quick(number))
+    question = PlacementRequest(build_quick(number))
     (action,) = single.instance.handle_front(FRONT, question, single.now)
     return action.message
 
@@ -254,19 +254,21 @@
         single.now += 0.05
         single.instance.member.advance(single.now)
     # The entry of its term is not applied yet.
-    asked = single.instance.handle_front(FRONT, LeaseQuestion(1.0), single.now)
-    assert not list_to_fronts(asked, LeaseAnswer)
+    asked = single.instance.handle_front(FRONT, LeaseRequest(1.0), single.now)
+    assert not list_to_fronts(asked, LeaseReply)
     single.pump()
     single.now += 0.02
     answered = single.instance.advance(single.now)
-    assert len(list_to_fronts(answered, LeaseAnswer)) == 1
+    assert len(list_to_fronts(answered, LeaseReply)) == 1
 
 
 def test_leader_that_answered_too_late_counts_the_job_where_it_runs():
     deployment = build_deployment(fronts=1, replicas=5, has_engines=True)
     front, (name,) = deployment.fronts[0], deployment.names
     work = build_quick(1)
-    (late,) = deployment.leader.handle_front(name, PlaceQuestion(work), deployment.now)
+    (late,) = deployment.leader.handle_front(
+        name, PlacementRequest(work), deployment.now
+    )
     others = [
         e for e in deployment.endpoints if e.upstream != late.message.placement.upstream
     ]
--- a/tests/unit/gateway/test_crash_exchange.py
+++ b/tests/unit/gateway/test_crash_exchange.py
@@ -2,7 +2,7 @@
 
 from scalebend.core.crash_ledger import MOST_ENDED
 from scalebend.core.gateway.crash_exchange import SPREAD_PERIOD, CrashExchange
-from scalebend.core.gateway.messages import CrashNews
+from scalebend.core.gateway.messages import CrashUpdates
 from scalebend.models.crashes import CrashRecord
 from scalebend.models.ids import Fingerprint, InstanceId, UpstreamId
 from tests.lib.gateway_group import LEADER, build_deployment
@@ -12,7 +12,7 @@
 
 def lose(deployment, number, upstream, fingerprint=CAUSE):
     front = deployment.fronts[number]
-    actions = front.note_lost(fingerprint, UpstreamId(upstream), deployment.now)
+    actions = front.record_crash(fingerprint, UpstreamId(upstream), deployment.now)
     deployment._send(deployment.names[number], actions)
 
 
@@ -69,7 +69,7 @@
     deployment = build_deployment(fronts=2, replicas=6)
     lose(deployment, 0, "i-1")
     deployment.run(0.05)
-    actions = deployment.fronts[1].note_answered(CAUSE, deployment.now)
+    actions = deployment.fronts[1].record_completed(CAUSE, deployment.now)
     deployment._send(deployment.names[1], actions)
     deployment.run(0.05)
     assert not any(front.crashes.is_suspect(CAUSE) for front in deployment.fronts)
@@ -82,7 +82,7 @@
     for number in range(8):
         record = CrashRecord(Fingerprint(f"victim-{number}"), (UpstreamId("i-1"),))
         now = number * SPREAD_PERIOD / 10
-        exchange.take(CrashNews([record], []), now)
+        exchange.take(CrashUpdates([record], []), now)
         sent += exchange.send_due(fronts, [], now, is_leader=True)
     sent += exchange.send_due(fronts, [], SPREAD_PERIOD, is_leader=True)
     assert len(sent) == 600
--- a/tests/unit/gateway/test_draining_by_answers.py
+++ b/tests/unit/gateway/test_draining_by_answers.py
@@ -18,7 +18,7 @@
 def test_all_fronts_learn_of_it_though_its_heartbeats_say_ready():
     deployment = build_deployment(4, 3, has_engines=True)
     leaving = deployment.endpoints[0].upstream
-    deployment.hear_draining(0, leaving)
+    deployment.record_draining(0, leaving)
     assert count_knowing(deployment, leaving) >= 1
     deployment.run(0.2)
     assert count_knowing(deployment, leaving) == 4
@@ -34,7 +34,7 @@
     deployment = build_deployment(2, 3, has_engines=True)
     leaving = deployment.endpoints[0].upstream
     deployment.lose_leader()
-    deployment.hear_draining(0, leaving)
+    deployment.record_draining(0, leaving)
     assert count_knowing(deployment, leaving) == 1
     deployment.replace_leader()
     deployment.run(0.2)
@@ -70,7 +70,7 @@
 
 def test_next_incarnation_is_usable():
     deployment = build_deployment(2, 1, has_engines=True)
-    deployment.hear_draining(0, deployment.endpoints[0].upstream)
+    deployment.record_draining(0, deployment.endpoints[0].upstream)
     deployment.run(0.2)
     reborn = build_endpoint(1, upstream=build_upstream_id("i-1", 2))
     deployment.register(reborn)
--- a/tests/unit/gateway/test_front_instance.py
+++ b/tests/unit/gateway/test_front_instance.py
@@ -5,16 +5,16 @@
 
 from scalebend.core.gateway.front_instance import FrontInstance
 from scalebend.core.gateway.messages import (
-    ControlNews,
+    ControlStatus,
     EndpointChanges,
     JobStages,
-    LeaseAnswer,
-    LeaseQuestion,
+    LeaseReply,
+    LeaseRequest,
     OpenJobs,
     Subscribe,
 )
 from scalebend.core.gateway.placement_repair import drop_replicas
-from scalebend.core.gateway.routing_store import build_news
+from scalebend.core.gateway.routing_store import build_update
 from scalebend.models.endpoints import EndpointNews
 from scalebend.models.gateway_settings import Bounds, GatewayRole, GatewaySettings
 from scalebend.models.ids import AvailabilityZone
@@ -57,15 +57,15 @@
 
 
 def take(front, routing, base=EMPTY_ROUTING, now=1.0):
-    return front.handle(A, build_news(base, routing), now)
+    return front.handle(A, build_update(base, routing), now)
 
 
 def test_front_is_ready_only_with_document_and_lease(front):
     assert not front.is_ready(1.0)
     take(front, build_routing(1))
     assert not front.is_ready(1.0)
-    front.handle(A, LeaseAnswer(1.0, 1), 1.1)
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.1)
+    front.handle(A, LeaseReply(1.0, 1), 1.1)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.1)
     front.advance(1.1)
     assert front.is_ready(1.2)
     front.is_draining = True
@@ -75,16 +75,16 @@
 
 def test_front_that_hears_nothing_of_its_leader_sends_callers_elsewhere(front):
     take(front, build_routing(1))
-    front.handle(A, LeaseAnswer(1.0, 1), 1.1)
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.1)
+    front.handle(A, LeaseReply(1.0, 1), 1.1)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.1)
     assert front.is_ready(1.2)
     # The link still counts as up, and others are heard: the leader is not.
-    front.handle(B, ControlNews([A, B], A, 1, 2), 2.0)
+    front.handle(B, ControlStatus([A, B], A, 1, 2), 2.0)
     front.advance(2.2)
     assert front.is_cut_off(2.2)
     assert not front.is_ready(2.2)
     assert front.may_admit(2.2)
-    front.handle(A, ControlNews([A, B], A, 1, 2), 2.3)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 2.3)
     assert front.is_ready(2.4)
 
 
@@ -105,47 +105,47 @@
 
 def test_lease_answer_with_a_newer_document_asks_for_it(front):
     take(front, build_routing(1))
-    actions = front.handle(A, LeaseAnswer(1.0, 2), 1.1)
+    actions = front.handle(A, LeaseReply(1.0, 2), 1.1)
     assert list_messages(actions, Subscribe) == [Subscribe(1)]
     assert not front.may_admit(1.1)
 
 
 def test_leader_of_the_highest_term_is_asked(front):
-    front.handle(A, ControlNews([A, B], A, 4, 2), 1.0)
+    front.handle(A, ControlStatus([A, B], A, 4, 2), 1.0)
     assert front.leader == A
-    front.handle(B, ControlNews([A, B], B, 3, 2), 1.0)
+    front.handle(B, ControlStatus([A, B], B, 3, 2), 1.0)
     assert front.leader == A
-    actions = front.handle(B, ControlNews([A, B], B, 5, 2), 1.0)
+    actions = front.handle(B, ControlStatus([A, B], B, 5, 2), 1.0)
     assert front.leader == B
-    assert list_messages(actions, LeaseQuestion)
+    assert list_messages(actions, LeaseRequest)
     assert {action.instance for action in actions} == {B}
 
 
 def test_leader_without_a_link_is_not_asked(front):
     front.remove_link(B)
-    front.handle(A, ControlNews([A, B], B, 5, 2), 1.0)
+    front.handle(A, ControlStatus([A, B], B, 5, 2), 1.0)
     assert front.leader is None
     front.add_link(B)
-    front.handle(A, ControlNews([A, B], B, 5, 2), 1.5)
+    front.handle(A, ControlStatus([A, B], B, 5, 2), 1.5)
     assert front.leader == B
 
 
 def test_members_are_remembered(front):
-    front.handle(A, ControlNews([A, "10.1.0.3:7000"], A, 1, 2), 1.0)
+    front.handle(A, ControlStatus([A, "10.1.0.3:7000"], A, 1, 2), 1.0)
     assert front.instances == {A, B, "10.1.0.3:7000"}
 
 
 def test_new_leader_is_told_open_jobs_with_their_age(front):
     take(front, build_routing(1, services=[build_service(engine=PROFILE)]))
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.0)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
     front.handle(A, EndpointChanges([EndpointNews(build_endpoint(), False)]), 1.0)
     for number in (1, 2):
         work = build_quick(number)
         front.open_job(work, front.place(work, 1.0), 1.0, is_uncoordinated=True)
-    front.note_stage(JobStage("front-1-1", is_ended=True), 1.5)
-    front.note_stage(JobStage("front-1-2", is_ended=False), 1.5)
+    front.record_stage(JobStage("front-1-1", is_ended=True), 1.5)
+    front.record_stage(JobStage("front-1-2", is_ended=False), 1.5)
     front.remove_link(A)
-    actions = front.handle(B, ControlNews([A, B], B, 2, 2), 2.0)
+    actions = front.handle(B, ControlStatus([A, B], B, 2, 2), 2.0)
     (message,) = list_messages(actions, OpenJobs)
     (job,) = msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=OpenJobs).jobs
     assert job.work.job == "front-1-2"
@@ -155,8 +155,8 @@
 
 def test_front_without_a_leader_serves_but_wants_no_new_connections(front):
     take(front, build_routing(1))
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.0)
-    front.handle(A, LeaseAnswer(1.0, 1), 1.0)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
+    front.handle(A, LeaseReply(1.0, 1), 1.0)
     front.advance(1.0)
     front.remove_link(A)
     front.advance(1.5)
@@ -187,18 +187,18 @@
 
 def test_replica_that_leaves_before_its_turn_is_seen(front, long_job):
     _, placement = long_job
-    assert front.list_left(placement, 0.0) == set()
+    assert front.list_unusable(placement, 0.0) == set()
     leaving = placement.helpers[-1].upstream
     let_leave(front, leaving, 1.5)
-    assert front.list_left(placement, 0.0) == {leaving}
+    assert front.list_unusable(placement, 0.0) == {leaving}
 
 
 def test_job_without_the_replica_that_left_keeps_its_time(front, long_job):
     work, placement = long_job
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.2)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
     leaving = placement.helpers[-1].upstream
     let_leave(front, leaving, 1.5)
-    kept = drop_replicas(placement, front.list_left(placement, 0.0))
+    kept = drop_replicas(placement, front.list_unusable(placement, 0.0))
     assert leaving not in kept.upstreams
     messages = [action.message for action in front.replace_job(work.job, kept, 1.5)]
     # The leader forgets the job first: it ignores what it knows already.
@@ -211,16 +211,16 @@
 
 
 def test_front_without_a_lease_says_that_it_is_urgent(front):
-    actions = front.handle(A, ControlNews([A, B], A, 1, 2), 1.0)
-    assert list_messages(actions, LeaseQuestion)[0].is_urgent
+    actions = front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
+    assert list_messages(actions, LeaseRequest)[0].is_urgent
     take(front, build_routing(1))
-    front.handle(A, LeaseAnswer(1.0, 1), 1.01)
-    assert not list_messages(front.advance(2.0), LeaseQuestion)[0].is_urgent
+    front.handle(A, LeaseReply(1.0, 1), 1.01)
+    assert not list_messages(front.advance(2.0), LeaseRequest)[0].is_urgent
 
 
 def test_front_admits_as_soon_as_the_document_comes_after_the_lease(front):
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.0)
-    front.handle(A, LeaseAnswer(1.0, 1), 1.01)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
+    front.handle(A, LeaseReply(1.0, 1), 1.01)
     assert not front.may_admit(1.02)
     take(front, build_routing(1), now=1.03)
     # Not only after the next question, which is 0.4 s away.
@@ -228,17 +228,17 @@
 
 
 def test_leader_that_won_again_hears_all_open_jobs(front, long_job):
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.2)
-    again = front.handle(A, ControlNews([A, B], A, 3, 2), 1.4)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
+    again = front.handle(A, ControlStatus([A, B], A, 3, 2), 1.4)
     assert list_messages(again, OpenJobs)[0].jobs
-    assert front.handle(A, ControlNews([A, B], A, 3, 2), 1.5) == []
+    assert front.handle(A, ControlStatus([A, B], A, 3, 2), 1.5) == []
 
 
 def test_leader_hears_of_jobs_that_the_front_placed_alone(front):
     take(front, build_routing(1, services=[build_service(engine=PROFILE)]))
     news = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
     front.handle(A, EndpointChanges(news), 1.0)
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.2)
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
     work = build_work("short", 5_000)
     placement = front.place(work, 1.3)
     actions = front.open_job(work, placement, 1.3, is_uncoordinated=True)
@@ -248,9 +248,9 @@
 
 def test_control_instance_that_was_replaced_is_not_dialled_for_ever(front):
     other = "10.1.0.3:7000"
-    front.note_seeds([A])
-    front.handle(A, ControlNews([A, B], A, 1, 2), 1.0)
-    front.handle(A, ControlNews([A, other], A, 1, 2), 2.0)
+    front.set_seeds([A])
+    front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
+    front.handle(A, ControlStatus([A, other], A, 1, 2), 2.0)
     assert front.instances == {A, B, other}, "its link is still up"
     front.remove_link(B)
     assert front.instances == {A, other}
@@ -258,16 +258,16 @@
 
 def test_minority_s_older_list_takes_no_instance_away(front):
     other = "10.1.0.3:7000"
-    front.note_seeds([])
-    front.handle(A, ControlNews([A, other], A, 5, 2), 1.0)
-    front.handle(B, ControlNews([A, B], None, 4, 2), 1.1)
+    front.set_seeds([])
+    front.handle(A, ControlStatus([A, other], A, 5, 2), 1.0)
+    front.handle(B, ControlStatus([A, B], None, 4, 2), 1.1)
     assert front.instances == {A, B, other}
 
 
 def test_member_with_a_new_disk_takes_no_instance_away(front):
     other, newest = "10.1.0.3:7000", "10.1.0.4:7000"
-    front.note_seeds([A])
-    front.handle(A, ControlNews([A, B, other], other, 5, 2), 1.0)
+    front.set_seeds([A])
+    front.handle(A, ControlStatus([A, B, other], other, 5, 2), 1.0)
     # It was replaced, and knows of the leader's first message only.
-    front.handle(B, ControlNews([newest], other, 5, 2), 1.1)
+    front.handle(B, ControlStatus([newest], other, 5, 2), 1.1)
     assert front.instances == {A, B, other, newest}
--- a/tests/unit/gateway/test_key_lease.py
+++ b/tests/unit/gateway/test_key_lease.py
@@ -58,9 +58,9 @@
 def test_answer_that_overtook_its_document_counts_once_that_has_come():
     lease = KeyLease(BOUND)
     lease.confirm(1.0, newest=7, held=0)
-    lease.note_held(6)
+    lease.record_document(6)
     assert not lease.is_valid(1.5)
-    lease.note_held(7)
+    lease.record_document(7)
     assert lease.is_valid(1.5)
     # From the question on, as always.
     assert not lease.is_valid(1.0 + BOUND - LEASE_MARGIN)
@@ -70,9 +70,9 @@
     lease = KeyLease(BOUND)
     lease.confirm(1.0, newest=7, held=0)
     lease.confirm(2.0, newest=8, held=0)
-    lease.note_held(7)
+    lease.record_document(7)
     assert not lease.is_valid(2.5)
-    lease.note_held(8)
+    lease.record_document(8)
     assert lease.is_valid(2.0 + BOUND - LEASE_MARGIN - 0.01)
 
 
--- a/tests/unit/gateway/test_limit_exchange.py
+++ b/tests/unit/gateway/test_limit_exchange.py
@@ -5,7 +5,7 @@
     SPREAD_PERIOD,
     LimitExchange,
 )
-from scalebend.core.gateway.messages import FrontPlace, LimitNews, SendQuestion
+from scalebend.core.gateway.messages import FrontNumber, LimitUpdates, SendPermitRequest
 from scalebend.models.ids import InstanceId, SendId, UpstreamId
 from scalebend.models.request_limits import HeardLimit, RequestLimit
 
@@ -24,7 +24,7 @@
 def count_granted(exchange, begin, seconds, *, may_grant=True):
     granted = 0
     for step in range(seconds * 10):
-        question = SendQuestion(SendId(step), [UPSTREAM], 0.0)
+        question = SendPermitRequest(SendId(step), [UPSTREAM], 0.0)
         answer = exchange.answer(question, begin + step / 10, may_grant=may_grant)
         granted += answer.upstream is not None
     return granted
@@ -55,12 +55,12 @@
 def test_what_is_new_is_told_once_and_to_all():
     exchange = build_exchange()
     told = exchange.send_due(1.0, is_leader=True)
-    news = [one.message for one in told if isinstance(one.message, LimitNews)]
-    places = [one.message for one in told if isinstance(one.message, FrontPlace)]
-    assert news == [LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
+    news = [one.message for one in told if isinstance(one.message, LimitUpdates)]
+    places = [one.message for one in told if isinstance(one.message, FrontNumber)]
+    assert news == [LimitUpdates([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
     # The same object: a message to all is encoded once.
     assert len({id(one) for one in news}) == 1
-    assert places == [FrontPlace(4, number) for number in range(4)]
+    assert places == [FrontNumber(4, number) for number in range(4)]
     assert exchange.send_due(2.0, is_leader=True) == []
     exchange.hear(FRONTS[1], [HeardLimit(UPSTREAM, 1.0, 1)], 2.0)
     assert exchange.send_due(3.0, is_leader=True) == []
@@ -73,13 +73,13 @@
     exchange.send_due(1.0, is_leader=True)
     exchange.remove_front(FRONTS[1], 2.0)
     told = exchange.send_due(3.0, is_leader=True)
-    assert [one.message for one in told] == [FrontPlace(4, n) for n in range(3)]
+    assert [one.message for one in told] == [FrontNumber(4, n) for n in range(3)]
 
 
 def test_front_that_is_linked_is_told_all_limits():
     exchange = build_exchange()
     (greeting,) = exchange.greet(FRONTS[2])
-    assert greeting.message == LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])
+    assert greeting.message == LimitUpdates([RequestLimit(UPSTREAM, 1.0, 1)])
     assert LimitExchange().greet(FRONTS[2]) == []
 
 
--- a/tests/unit/gateway/test_limit_sums.py
+++ b/tests/unit/gateway/test_limit_sums.py
@@ -174,8 +174,8 @@
         for _, front, job, upstream, known in due:
             rate = self.said[upstream].rate
             heard = HeardLimit(upstream, rate, known.revision)
-            self.deployment.note_stage(front, job, is_ended=True)
-            self.deployment.hear_limit(front, heard)
+            self.deployment.record_stage(front, job, is_ended=True)
+            self.deployment.record_limit(front, heard)
 
 
 TestLimitSums = LimitMachine.TestCase
--- a/tests/unit/gateway/test_limited_engines.py
+++ b/tests/unit/gateway/test_limited_engines.py
@@ -64,12 +64,12 @@
         for answer in [one for one in self._answers if one[0] <= now]:
             self._answers.remove(answer)
             _, front, job, heard = answer
-            self.deployment.note_stage(front, job, is_ended=False)
-            self.deployment.hear_limit(front, heard)
+            self.deployment.record_stage(front, job, is_ended=False)
+            self.deployment.record_limit(front, heard)
         for ending in [one for one in self._open if one[0] <= now]:
             self._open.remove(ending)
             _, front, job = ending
-            self.deployment.note_stage(front, job, is_ended=True)
+            self.deployment.record_stage(front, job, is_ended=True)
 
     def _arrive(self, now):
         front = self.chance.choice(self.deployment.fronts)
@@ -131,7 +131,7 @@
     names = [endpoint.upstream for endpoint in deployment.endpoints]
     load.limits = dict.fromkeys(names, limit)
     for name in names:
-        deployment.hear_limit(deployment.fronts[0], HeardLimit(name, limit, 0))
+        deployment.record_limit(deployment.fronts[0], HeardLimit(name, limit, 0))
     return names
 
 
@@ -272,7 +272,7 @@
     limited = {endpoint.upstream for endpoint in deployment.endpoints[:6]}
     for upstream in limited:
         heard = HeardLimit(upstream, 5.0, 0)
-        deployment.hear_limit(deployment.fronts[0], heard)
+        deployment.record_limit(deployment.fronts[0], heard)
     deployment.run(3.0)
     placed = deployment.place(deployment.fronts[1], build_work(9_000, 200_000))
     assert len(placed.upstreams) > 4
@@ -283,7 +283,7 @@
     deployment = build_deployment(2, 18, has_engines=True)
     for endpoint in deployment.endpoints:
         heard = HeardLimit(endpoint.upstream, 1.0, 0)
-        deployment.hear_limit(deployment.fronts[0], heard)
+        deployment.record_limit(deployment.fronts[0], heard)
     deployment.run(3.0)
     placed = deployment.place(deployment.fronts[1], build_work(1, 200_000))
     assert len(placed.upstreams) > 4
--- a/tests/unit/gateway/test_news_batch.py
+++ b/tests/unit/gateway/test_news_batch.py
@@ -46,7 +46,7 @@
     assert len(messages) <= HEARTBEAT / BATCH_PERIOD + 4
     front = EndpointDirectory(100.0, heard_again=1)
     for message in messages:
-        for news in message.news:
+        for news in message.changes:
             front.merge(news, began)
     assert len(front.list_usable(SERVICE)) == 3_000
 
--- a/tests/unit/gateway/test_outlier_detector.py
+++ b/tests/unit/gateway/test_outlier_detector.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from scalebend.core.gateway.messages import EjectedUpstreams, OutcomesSeen
+from scalebend.core.gateway.messages import AttemptOutcomes, EjectedUpstreams
 from scalebend.core.gateway.outlier_detector import (
     FIRST_EJECTION,
     FORGET_AFTER,
@@ -114,8 +114,8 @@
     for _ in range(int(7.5 * 15)):
         deployment.run(1 / 15)
         front = chance.choice(deployment.fronts)
-        chosen = deployment.choose_service(front, chance)
-        front.note_outcome(chosen, has_failed=chosen == bad)
+        chosen = deployment.choose_upstream(front, chance)
+        front.record_outcome(chosen, has_failed=chosen == bad)
         lost += chosen == bad
     # Three to find out, and those under way meanwhile; without a word among the
     # fronts it would be one in five of 112.
@@ -124,7 +124,7 @@
 
 def test_new_front_and_new_leader_know_what_is_ejected(deployment):
     leader = deployment.leader
-    seen = OutcomesSeen([UpstreamOutcomes(deployment.endpoints[0].upstream, 0, 3)])
+    seen = AttemptOutcomes([UpstreamOutcomes(deployment.endpoints[0].upstream, 0, 3)])
     told = leader.handle_front(deployment.names[0], seen, deployment.now)
     assert [a.message for a in told if isinstance(a.message, EjectedUpstreams)]
     late = leader.add_front("front-late", deployment.now)
@@ -142,8 +142,8 @@
     front = deployment.fronts[0]
     bad = deployment.endpoints[0].upstream
     front.handle("10.9.9.9:7000", EjectedUpstreams([bad]), deployment.now)
-    chosen = {deployment.choose_service(front, random.Random(n)) for n in range(40)}
+    chosen = {deployment.choose_upstream(front, random.Random(n)) for n in range(40)}
     assert bad in chosen
     front.handle(deployment.leader.me, EjectedUpstreams([bad]), deployment.now)
-    chosen = {deployment.choose_service(front, random.Random(n)) for n in range(40)}
+    chosen = {deployment.choose_upstream(front, random.Random(n)) for n in range(40)}
     assert bad not in chosen
--- a/tests/unit/gateway/test_pauses_kept.py
+++ b/tests/unit/gateway/test_pauses_kept.py
@@ -52,7 +52,7 @@
     @rule(front=fronts, engine=engines, seconds=st.floats(0.1, 5.0))
     def ask_for_pause(self, front, engine, seconds):
         upstream = self.deployment.endpoints[engine].upstream
-        self.deployment.note_rejection(self.deployment.fronts[front], upstream)
+        self.deployment.record_rejection(self.deployment.fronts[front], upstream)
         instance = self.deployment.fronts[front]
         instance.backoffs.hear(upstream, seconds, self.now)
         before = self.until.get((front, upstream), 0.0)
@@ -64,7 +64,7 @@
         if self.deployment.fronts[front].directory.get(upstream) is None:
             # Nothing was sent there that it could answer.
             return
-        self.deployment.hear_draining(front, upstream)
+        self.deployment.record_draining(front, upstream)
         self.left.add((front, upstream))
 
     @rule(engine=engines)
@@ -107,8 +107,10 @@
         if isinstance(placed, Placement):
             assert not paused & set(placed.upstreams)
             # A front looks again before it sends: whoever placed may know less.
-            assert left & set(placed.upstreams) <= instance.list_left(placed, self.now)
-            self.deployment.note_stage(instance, work.job, is_ended=True)
+            assert left & set(placed.upstreams) <= instance.list_unusable(
+                placed, self.now
+            )
+            self.deployment.record_stage(instance, work.job, is_ended=True)
         usable = instance.directory.list_usable(SERVICE)
         is_any_open = {one.upstream for one in usable} - paused - left
         assert not is_any_open or is_long or isinstance(placed, Placement)
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -17,7 +17,7 @@
 
 from scalebend.core.control_state import PutRouting, RoutingHeld
 from scalebend.core.gateway.link_history import MAX_STARTS, WINDOW_S, LinkHistory
-from scalebend.core.gateway.messages import ControlNews, Introduce, KnownInstances
+from scalebend.core.gateway.messages import ControlStatus, Introduce, KnownInstances
 from scalebend.core.gateway.relay_instance import RelayInstance
 from scalebend.core.gateway.routing_store import pack_routing
 from scalebend.core.messages import Hello
@@ -188,13 +188,13 @@
         relay.add_link(instance)
     relay.handle("s", KnownInstances(["a"]))
     assert relay.choose_target() == "a"
-    relay.handle("a", ControlNews(["a", "b"], "b", 3, 2))
+    relay.handle("a", ControlStatus(["a", "b"], "b", 3, 2))
     assert relay.choose_target() == "b"
     assert relay.list_members() == ["a", "b"]
     relay.remove_link("b")
     assert relay.choose_target() == "a"
     # One that was cut off still names the leader of an earlier term.
-    relay.handle("s", ControlNews(["a", "b"], "b", 2, 2))
+    relay.handle("s", ControlStatus(["a", "b"], "b", 2, 2))
     assert relay.choose_target() == "a"
 
 
--- a/tests/unit/gateway/test_routing_push.py
+++ b/tests/unit/gateway/test_routing_push.py
@@ -120,7 +120,7 @@
     catalogues.add_front(FRONTS[0], 0.0)
     assert not send_due(catalogues, directory, 0.5, is_leader=False)
     (sent,) = send_due(catalogues, directory, FOLLOWER_DELAY, is_leader=False)
-    assert len(sent.message.news) == 155
+    assert len(sent.message.changes) == 155
     catalogues.add_front(FRONTS[1], 5.0)
     assert len(send_due(catalogues, directory, 5.0, is_leader=True)) == 1
     assert not send_due(catalogues, directory, 9.0, is_leader=True)
--- a/tests/unit/gateway/test_routing_store.py
+++ b/tests/unit/gateway/test_routing_store.py
@@ -3,9 +3,9 @@
 
 from scalebend.core.control_state import ControlState, PutRouting, encode_command
 from scalebend.core.gateway.routing_store import (
-    RoutingNews,
-    apply_news,
-    build_news,
+    RoutingUpdate,
+    apply_update,
+    build_update,
     pack_routing,
     unpack_document,
     unpack_routing,
@@ -49,24 +49,24 @@
 
 
 @given(routings(1), routings(2))
-def test_news_turn_one_document_into_the_next(base, newer):
-    news = build_news(base, newer)
-    copy = msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=RoutingNews)
-    assert as_sets(apply_news(base, copy)) == as_sets(newer)
+def test_update_turns_one_document_into_the_next(base, newer):
+    update = build_update(base, newer)
+    copy = msgspec.msgpack.decode(msgspec.msgpack.encode(update), type=RoutingUpdate)
+    assert as_sets(apply_update(base, copy)) == as_sets(newer)
 
 
-def test_news_for_another_base_are_not_applied():
-    news = build_news(build_routing(3), build_routing(5))
-    assert apply_news(build_routing(4), news) is None
+def test_update_for_another_base_is_not_applied():
+    update = build_update(build_routing(3), build_routing(5))
+    assert apply_update(build_routing(4), update) is None
 
 
 def test_small_change_of_a_large_document_is_small():
     routes = [build_route(name=str(n), path_prefix=f"/{n}/") for n in range(350)]
     base = build_routing(1, routes)
     changed = [*routes[:-1], msgspec.structs.replace(routes[-1], timeout=1.0)]
-    news = build_news(base, build_routing(2, changed))
-    assert len(msgspec.msgpack.encode(news)) < 1_000
-    whole = build_news(EMPTY_ROUTING, base)
+    update = build_update(base, build_routing(2, changed))
+    assert len(msgspec.msgpack.encode(update)) < 1_000
+    whole = build_update(EMPTY_ROUTING, base)
     assert len(msgspec.msgpack.encode(whole)) < 60_000
 
 
@@ -98,5 +98,5 @@
         build_route(name=f"r-{n}", host=f"h{n % 7}.example", path_prefix=f"/p{n}/")
         for n in range(1_400)
     ]
-    news = build_news(build_routing(1), build_routing(2, routes))
-    assert len(msgspec.msgpack.encode(news)) < 30_000
+    update = build_update(build_routing(1), build_routing(2, routes))
+    assert len(msgspec.msgpack.encode(update)) < 30_000
--- a/tests/unit/gateway/test_tired_engines.py
+++ b/tests/unit/gateway/test_tired_engines.py
@@ -58,7 +58,7 @@
                 self._arrive()
             for one in [one for one in self._open if one[0] <= now]:
                 self._open.remove(one)
-                self.deployment.note_stage(one[1], one[2], is_ended=True)
+                self.deployment.record_stage(one[1], one[2], is_ended=True)
 
     def _arrive(self):
         front = self.chance.choice(self.deployment.fronts)
@@ -72,11 +72,11 @@
             if placed.upstream not in self.tired:
                 ending = self.deployment.now + WRITING
                 self._open.append((ending, front, work.job, placed.upstream))
-                self.deployment.note_stage(front, work.job, is_ended=False)
+                self.deployment.record_stage(front, work.job, is_ended=False)
                 return
             self.rejections += 1
-            self.deployment.note_stage(front, work.job, is_ended=True)
-            self.deployment.note_rejection(front, placed.upstream)
+            self.deployment.record_stage(front, work.job, is_ended=True)
+            self.deployment.record_rejection(front, placed.upstream)
             if self.pause:
                 front.backoffs.hear(placed.upstream, self.pause, self.deployment.now)
             excluded = (*excluded, placed.upstream)
