--- a/src/scalebend/core/gateway/key_lease.py
+++ b/src/scalebend/core/gateway/key_lease.py
@@ -18,7 +18,7 @@
 
 from scalebend.models.ids import RoutingVersion
 
-LEASE_MARGIN = 0.3
+LEASE_MARGIN_S = 0.3
 """Subtracted from the bound on revocation, for the time from check to send."""
 
 
@@ -34,9 +34,9 @@
 
     def __init__(self, revocation_bound: float, *, is_strict: bool = True) -> None:
         """``is_strict``: the bound (in seconds) also holds for fronts cut off."""
-        self._duration_s = revocation_bound - LEASE_MARGIN
+        self._duration_s = revocation_bound - LEASE_MARGIN_S
         self._is_strict = is_strict
-        self._asked_at: float | None = None
+        self._latest_request_at: float | None = None
         self._early_reply: _EarlyReply | None = None
 
     def confirm(
@@ -51,8 +51,8 @@
             if self._early_reply is None or asked_at >= self._early_reply.asked_at:
                 self._early_reply = _EarlyReply(asked_at, newest)
             return False
-        if self._asked_at is None or asked_at > self._asked_at:
-            self._asked_at = asked_at
+        if self._latest_request_at is None or asked_at > self._latest_request_at:
+            self._latest_request_at = asked_at
         return True
 
     def record_document(self, held: RoutingVersion) -> None:
@@ -65,11 +65,11 @@
     def is_valid(self, now: float) -> bool:
         """Whether a keyed request may be admitted at ``now``."""
         if not self._is_strict:
-            return self._asked_at is not None
+            return self._latest_request_at is not None
         return self.compute_remaining(now) > 0.0
 
     def compute_remaining(self, now: float) -> float:
         """Return the seconds until the lease expires; 0 or less once it has."""
-        if self._asked_at is None:
+        if self._latest_request_at is None:
             return 0.0
-        return self._asked_at + self._duration_s - now
+        return self._latest_request_at + self._duration_s - now
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from scalebend.core.fingerprints import compute_fingerprint
-from scalebend.core.gateway.key_lease import LEASE_MARGIN
+from scalebend.core.gateway.key_lease import LEASE_MARGIN_S
 from scalebend.edges.gateway.forwarder import Forwarder, StreamBrokenError
 from scalebend.edges.gateway.front_runtime import FrontRuntime
 from scalebend.edges.gateway.http_listener import answer_metrics, listen
@@ -163,7 +163,7 @@
         if len(body) > most:
             raise _too_large(most)
         # Time passed while the body came: the key may have been revoked meanwhile.
-        self._check_admission(self._runtime.now() + LEASE_MARGIN / 2)
+        self._check_admission(self._runtime.now() + LEASE_MARGIN_S / 2)
         return body
 
     def _check_stopping(self, now: float) -> None:
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Small builders of gateway objects for tests."""
+"""Builders of gateway objects with test defaults."""
 
 from scalebend.models.calls import Call, CallerHeaders, PromptSize
 from scalebend.models.endpoints import Endpoint
--- a/tests/lib/gateway_group.py
+++ b/tests/lib/gateway_group.py
@@ -1,4 +1,4 @@
-"""A leader and many fronts in one process: messages arrive at once, no network."""
+"""A leader and its fronts in one process, with instant messages and no network."""
 
 import msgspec
 
@@ -25,7 +25,7 @@
 
 
 def pump(instance, now):
-    """Let a control instance write and act until it has nothing more to do."""
+    """Run a control instance until it has nothing more to write or do."""
     actions = []
     while True:
         ready = instance.member.take_ready(now)
@@ -49,7 +49,7 @@
         self.run(0.5)
 
     def _build_leader(self):
-        """A control instance that leads, with all replicas registered and no front."""
+        """Build a leader with all replicas registered and no front."""
         recovered = Recovered(DiskId("d"), HardState(Term(0), None), None, [])
         member = ControlMember(LEADER, [], recovered, now=self.now)
         leader = ControlInstance(member, 1.2, now=self.now)
@@ -66,25 +66,25 @@
         return leader
 
     def lose_leader(self):
-        """All fronts lose their links to the leader."""
+        """Cut the links of all fronts to the leader."""
         for front in self.fronts:
             front.remove_link(LEADER)
 
     def replace_leader(self):
-        """Another one leads after a second; it knows what fronts tell it."""
+        """Let another one lead after a second; it knows only what fronts report."""
         self.leader = self._build_leader()
         for name, front in zip(self.names, self.fronts, strict=True):
             front.add_link(LEADER)
             self._deliver(self.leader.add_front(name, self.now))
 
     def cut_front(self, number, *, is_noticed):
-        """A front loses the leader, which notices that or not."""
+        """Cut the link of a front; ``is_noticed``: the leader detects it, too."""
         self.fronts[number].remove_link(LEADER)
         if is_noticed:
             self.leader.remove_front(self.names[number], self.now)
 
     def link_front(self, number):
-        """A front that was cut off is linked again."""
+        """Link a front again that was cut off."""
         self.fronts[number].add_link(LEADER)
         name = self.names[number]
         self.leader.remove_front(name, self.now)
@@ -99,7 +99,7 @@
         self._deliver(self.leader.add_front(settings.instance, self.now))
 
     def run(self, seconds):
-        """Let time pass; return all that the leader did."""
+        """Advance the clock; return the actions of the leader."""
         actions = []
         end = self.now + seconds
         while self.now < end - 1e-9:
@@ -112,79 +112,79 @@
         return actions
 
     def choose_upstream(self, front, chance):
-        """The replica that a front would send a plain call to."""
+        """Return the replica to which a front would send a plain call."""
         usable = front.directory.list_usable(SERVICE)
         zone = front.settings.availability_zone
         return front.balancer.choose(usable, set(), zone, chance, self.now).upstream
 
     def place(self, front, work):
-        """Ask the leader, as a front does, and tell it what became of it."""
+        """Place a job by the leader, or uncoordinated if the front has none."""
         number = self.fronts.index(front)
         work = front.exclude_in_backoff(work, self.now)
         if front.leader is None:
             placed = front.place(work, self.now)
             if isinstance(placed, Placement):
-                told = front.open_job(work, placed, self.now, is_uncoordinated=True)
-                self._send(self.names[number], told)
+                reports = front.open_job(work, placed, self.now, is_uncoordinated=True)
+                self._send(self.names[number], reports)
             return placed
-        question = PlacementRequest(work)
-        (action,) = self.leader.handle_front(self.names[number], question, self.now)
+        request = PlacementRequest(work)
+        (action,) = self.leader.handle_front(self.names[number], request, self.now)
         placed = action.message.placement or action.message.declined
         if isinstance(placed, Placement):
-            told = front.open_job(work, placed, self.now, is_uncoordinated=False)
-            self._send(self.names[number], told)
+            reports = front.open_job(work, placed, self.now, is_uncoordinated=False)
+            self._send(self.names[number], reports)
         return placed
 
     def record_stage(self, front, job, *, is_ended):
-        """A front saw a job's first token, or its end."""
-        told = front.record_stage(JobStage(job, is_ended), self.now)
-        self._send(self.names[self.fronts.index(front)], told)
+        """Record a job's first token or its end at a front."""
+        reports = front.record_stage(JobStage(job, is_ended), self.now)
+        self._send(self.names[self.fronts.index(front)], reports)
 
     def renew(self):
-        """All replicas register again."""
+        """Renew the registrations of all replicas."""
         for number, endpoint in enumerate(self.endpoints):
             newer = msgspec.structs.replace(endpoint, sequence=endpoint.sequence + 1)
             self.endpoints[number] = newer
             self._deliver(self.leader.register(newer, self.now))
 
     def register(self, endpoint):
-        """An upstream registers, and all linked fronts hear of it."""
+        """Register an upstream with the leader and all linked fronts."""
         self._deliver(self.leader.register(endpoint, self.now))
         self.run(TICK)
 
     def record_draining(self, number, upstream):
-        """An answer at a front said that its replica leaves."""
-        told = self.fronts[number].record_draining(upstream)
-        self._send(self.names[number], told or [])
+        """Let a front receive a response that announces a drain."""
+        reports = self.fronts[number].record_draining(upstream)
+        self._send(self.names[number], reports or [])
 
     def record_limit(self, front, heard):
-        """An answer at a front named what its replica takes."""
+        """Let a front receive a response that names a rate limit."""
         self._send(
             self.names[self.fronts.index(front)], front.record_limit(heard, self.now)
         )
 
     def record_rejection(self, front, upstream):
-        """An engine turned a front's request away."""
-        told = front.record_rejection(upstream, self.now)
-        self._send(self.names[self.fronts.index(front)], told)
+        """Let an engine reject a front's request."""
+        reports = front.record_rejection(upstream, self.now)
+        self._send(self.names[self.fronts.index(front)], reports)
 
     def _send(self, name, actions):
         for action in actions:
             if isinstance(action, ToControl):
-                told = self.leader.handle_front(name, action.message, self.now)
-                self._deliver(told)
+                replies = self.leader.handle_front(name, action.message, self.now)
+                self._deliver(replies)
 
     def _deliver(self, actions):
         for action in actions:
             if isinstance(action, ToFront) and action.front in self.names:
                 front = self.fronts[self.names.index(action.front)]
-                answers = front.handle(LEADER, action.message, self.now)
-                self._send(action.front, answers)
+                replies = front.handle(LEADER, action.message, self.now)
+                self._send(action.front, replies)
 
     def _pump(self):
         return pump(self.leader, self.now)
 
 
 def build_deployment(fronts, replicas, *, has_engines=False):
-    """A leader that leads, with its fronts linked and all replicas registered."""
+    """Build a leader with its fronts linked and all replicas registered."""
     return Deployment(fronts, replicas, PROFILE if has_engines else None)
--- a/tests/unit/gateway/test_blame.py
+++ b/tests/unit/gateway/test_caller_disconnects.py
@@ -1,4 +1,4 @@
-"""A request is not blamed for what its caller did."""
+"""A disconnected caller does not make its request suspect."""
 
 import asyncio
 
@@ -15,17 +15,17 @@
 async def stream(request):
     await request.read()
     headers = {"X-Request-Id": request.headers["X-Request-Id"], "X-Server-Seal": "s"}
-    answer = web.StreamResponse(headers=headers)
-    answer.content_type = "text/event-stream"
-    await answer.prepare(request)
+    response = web.StreamResponse(headers=headers)
+    response.content_type = "text/event-stream"
+    await response.prepare(request)
     for number in range(1, EVENTS):
-        await answer.write(b"id: %d\ndata: %s\n\n" % (number, b"x" * 2000))
+        await response.write(b"id: %d\ndata: %s\n\n" % (number, b"x" * 2000))
         await asyncio.sleep(0)
-    await answer.write_eof()
-    return answer
+    await response.write_eof()
+    return response
 
 
-async def test_caller_that_breaks_off_its_stream_again_and_again_is_no_cause():
+async def test_repeated_disconnects_of_a_caller_are_no_crashes():
     route = build_route(kind=RouteKind.STREAMING, is_resumable=True, event_gap=1.0)
     async with (
         run_front(build_routing(1, [route])) as front,
@@ -37,8 +37,8 @@
         for number in range(20):
             async with aiohttp.ClientSession() as session:
                 front.session = session
-                answer = await front.call()
-                await answer.content.read(100 + 997 * number)
-                answer.connection.transport.abort()
+                response = await front.call()
+                await response.content.read(100 + 997 * number)
+                response.connection.transport.abort()
         await asyncio.sleep(0.2)
         assert front.runtime.instance.crashes.list_records() == []
--- a/tests/unit/gateway/test_pauses_kept.py
+++ b/tests/unit/gateway/test_engine_backoffs.py
@@ -1,9 +1,7 @@
-"""A state machine of what engines say in answers, against a model that keeps it all.
+"""Backoff and draining that engines announce in responses, against a model.
 
-Engines ask single fronts for pauses, say that they leave, and start again under their
-names, while the leader is lost and replaced. The model: within a pause the front that
-was asked places nothing there; nobody who heard a farewell does; and as long as an
-engine is open to a front, a quick prompt finds one.
+During backoff a front places nothing on the engine; a front that knows of a drain sends
+nothing there; and a quick prompt is placed while any engine is open to its front.
 """
 
 from hypothesis import strategies as st
@@ -25,56 +23,56 @@
 engines = st.integers(0, ENGINES - 1)
 
 
-class Pauses(RuleBasedStateMachine):
+class EngineBackoffs(RuleBasedStateMachine):
     @initialize()
     def start(self):
         self.deployment = build_deployment(FRONTS, ENGINES, has_engines=True)
-        self.until = {}
-        self.left = set()
+        self.backoff_until = {}
+        self.draining = set()
         self.is_led = True
         self.jobs = 0
-        self.births = 0
+        self.incarnations = 0
 
     @property
     def now(self):
         return self.deployment.now
 
-    def list_paused(self, front):
+    def list_in_backoff(self, front):
         return {
             upstream
-            for (number, upstream), until in self.until.items()
+            for (number, upstream), until in self.backoff_until.items()
             if number == front and until > self.now
         }
 
-    def list_left(self, front):
-        return {upstream for number, upstream in self.left if number == front}
+    def list_draining(self, front):
+        return {upstream for number, upstream in self.draining if number == front}
 
     @rule(front=fronts, engine=engines, seconds=st.floats(0.1, 5.0))
-    def ask_for_pause(self, front, engine, seconds):
+    def reject_with_backoff(self, front, engine, seconds):
         upstream = self.deployment.endpoints[engine].upstream
         self.deployment.record_rejection(self.deployment.fronts[front], upstream)
         instance = self.deployment.fronts[front]
         instance.backoffs.hear(upstream, seconds, self.now)
-        before = self.until.get((front, upstream), 0.0)
-        self.until[front, upstream] = max(before, self.now + seconds)
+        before = self.backoff_until.get((front, upstream), 0.0)
+        self.backoff_until[front, upstream] = max(before, self.now + seconds)
 
     @rule(front=fronts, engine=engines)
-    def say_farewell(self, front, engine):
+    def announce_drain(self, front, engine):
         upstream = self.deployment.endpoints[engine].upstream
         if self.deployment.fronts[front].directory.get(upstream) is None:
-            # Nothing was sent there that it could answer.
+            # The front does not know this engine, so nothing was sent there.
             return
         self.deployment.record_draining(front, upstream)
-        self.left.add((front, upstream))
+        self.draining.add((front, upstream))
 
     @rule(engine=engines)
-    def start_engine_again(self, engine):
-        self.births += 1
+    def restart_engine(self, engine):
+        self.incarnations += 1
         endpoint = self.deployment.endpoints[engine]
         newer = build_endpoint(
             engine + 1,
-            upstream=build_upstream_id(endpoint.name, self.births),
-            born=self.births,
+            upstream=build_upstream_id(endpoint.name, self.incarnations),
+            born=self.incarnations,
         )
         self.deployment.endpoints[engine] = newer
         self.deployment.register(newer)
@@ -103,17 +101,17 @@
         instance = self.deployment.fronts[front]
         work = build_work(self.jobs, 200_000) if is_long else build_quick(self.jobs)
         placed = self.deployment.place(instance, work)
-        paused, left = self.list_paused(front), self.list_left(front)
+        in_backoff, draining = self.list_in_backoff(front), self.list_draining(front)
         if isinstance(placed, Placement):
-            assert not paused & set(placed.upstreams)
-            # A front looks again before it sends: whoever placed may know less.
-            assert left & set(placed.upstreams) <= instance.list_unusable(
+            assert not in_backoff & set(placed.upstreams)
+            # The front checks again before it sends: the leader may know less.
+            assert draining & set(placed.upstreams) <= instance.list_unusable(
                 placed, self.now
             )
             self.deployment.record_stage(instance, work.job, is_ended=True)
         usable = instance.directory.list_usable(SERVICE)
-        is_any_open = {one.upstream for one in usable} - paused - left
+        is_any_open = {one.upstream for one in usable} - in_backoff - draining
         assert not is_any_open or is_long or isinstance(placed, Placement)
 
 
-TestPauses = Pauses.TestCase
+TestEngineBackoffs = EngineBackoffs.TestCase
--- a/tests/unit/gateway/test_event_cursor.py
+++ b/tests/unit/gateway/test_event_cursor.py
@@ -16,26 +16,26 @@
 
 
 @given(st.lists(st.integers(0, len(WHOLE)), max_size=20))
-def test_bytes_pass_unchanged_wherever_they_are_cut(cuts):
+def test_bytes_are_forwarded_unchanged_however_they_are_split(cuts):
     cursor = EventCursor()
-    borders = sorted({0, len(WHOLE), *cuts})
-    passed = b"".join(
+    offsets = sorted({0, len(WHOLE), *cuts})
+    forwarded = b"".join(
         cursor.feed(WHOLE[start:end]).data
-        for start, end in zip(borders, borders[1:], strict=False)
+        for start, end in zip(offsets, offsets[1:], strict=False)
     )
-    assert passed == WHOLE
+    assert forwarded == WHOLE
     assert cursor.last_event == 29
     assert not cursor.has_partial
 
 
 @given(broken_at=st.integers(0, len(WHOLE)), repeats=st.integers(0, 5))
-def test_resumed_answer_has_each_event_once(broken_at, repeats):
+def test_resumed_response_has_each_event_once(broken_at, repeats):
     cursor = EventCursor()
-    passed = cursor.feed(WHOLE[:broken_at]).data
+    forwarded = cursor.feed(WHOLE[:broken_at]).data
     cursor.restart()
     first = max(1, (cursor.last_event or 0) + 1 - repeats)
     rest = b"".join(build_event(n) for n in range(first, 30))
-    assert passed + cursor.feed(rest).data == WHOLE
+    assert forwarded + cursor.feed(rest).data == WHOLE
 
 
 def test_caller_that_resumes_gets_only_later_events():
@@ -43,12 +43,12 @@
     assert cursor.feed(WHOLE).data == build_event(28) + build_event(29)
 
 
-def test_end_inside_an_event_is_noticed():
+def test_end_inside_an_event_is_detected():
     cursor = EventCursor()
     cursor.feed(build_event(1)[:-1])
     assert cursor.has_partial
 
 
-def test_endless_event_is_refused():
+def test_too_long_event_is_rejected():
     with pytest.raises(GarbledEventsError):
         EventCursor().feed(b"x" * (MAX_EVENT_BYTES + 1))
--- a/tests/unit/gateway/test_front_instance.py
+++ b/tests/unit/gateway/test_front_instance.py
@@ -1,4 +1,4 @@
-"""What a front believes when links, leaders and documents come and go."""
+"""State of a front when links, leaders and routing documents change."""
 
 import msgspec
 import pytest
@@ -56,13 +56,13 @@
     return [action.message for action in actions if isinstance(action.message, kind)]
 
 
-def take(front, routing, base=EMPTY_ROUTING, now=1.0):
+def apply_routing(front, routing, base=EMPTY_ROUTING, now=1.0):
     return front.handle(A, build_update(base, routing), now)
 
 
 def test_front_is_ready_only_with_document_and_lease(front):
     assert not front.is_ready(1.0)
-    take(front, build_routing(1))
+    apply_routing(front, build_routing(1))
     assert not front.is_ready(1.0)
     front.handle(A, LeaseReply(1.0, 1), 1.1)
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.1)
@@ -73,12 +73,12 @@
     assert front.may_admit(1.2)
 
 
-def test_front_that_hears_nothing_of_its_leader_sends_callers_elsewhere(front):
-    take(front, build_routing(1))
+def test_front_without_messages_from_its_leader_is_not_ready(front):
+    apply_routing(front, build_routing(1))
     front.handle(A, LeaseReply(1.0, 1), 1.1)
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.1)
     assert front.is_ready(1.2)
-    # The link still counts as up, and others are heard: the leader is not.
+    # The link is up and others send messages, but the leader does not.
     front.handle(B, ControlStatus([A, B], A, 1, 2), 2.0)
     front.advance(2.2)
     assert front.is_cut_off(2.2)
@@ -88,29 +88,29 @@
     assert front.is_ready(2.4)
 
 
-def test_older_document_is_never_taken(front):
+def test_older_document_is_never_applied(front):
     newer = build_routing(5, [build_route(name="five")])
-    take(front, newer)
-    take(front, build_routing(3, [build_route(name="three")]))
+    apply_routing(front, newer)
+    apply_routing(front, build_routing(3, [build_route(name="three")]))
     assert front.table.routing.version == 5
     assert front.table.find_route("a.example", "/").name == "five"
 
 
-def test_news_for_a_base_that_is_not_held_ask_again(front):
-    take(front, build_routing(1))
-    actions = take(front, build_routing(9), base=build_routing(4))
+def test_update_for_another_base_subscribes_again(front):
+    apply_routing(front, build_routing(1))
+    actions = apply_routing(front, build_routing(9), base=build_routing(4))
     assert list_messages(actions, Subscribe) == [Subscribe(1)]
     assert front.table.routing.version == 1
 
 
-def test_lease_answer_with_a_newer_document_asks_for_it(front):
-    take(front, build_routing(1))
+def test_lease_reply_with_a_newer_version_subscribes_to_it(front):
+    apply_routing(front, build_routing(1))
     actions = front.handle(A, LeaseReply(1.0, 2), 1.1)
     assert list_messages(actions, Subscribe) == [Subscribe(1)]
     assert not front.may_admit(1.1)
 
 
-def test_leader_of_the_highest_term_is_asked(front):
+def test_leader_of_the_highest_term_gets_requests(front):
     front.handle(A, ControlStatus([A, B], A, 4, 2), 1.0)
     assert front.leader == A
     front.handle(B, ControlStatus([A, B], B, 3, 2), 1.0)
@@ -121,7 +121,7 @@
     assert {action.instance for action in actions} == {B}
 
 
-def test_leader_without_a_link_is_not_asked(front):
+def test_leader_without_a_link_gets_no_requests(front):
     front.remove_link(B)
     front.handle(A, ControlStatus([A, B], B, 5, 2), 1.0)
     assert front.leader is None
@@ -135,8 +135,8 @@
     assert front.instances == {A, B, "10.1.0.3:7000"}
 
 
-def test_new_leader_is_told_open_jobs_with_their_age(front):
-    take(front, build_routing(1, services=[build_service(engine=PROFILE)]))
+def test_new_leader_receives_open_jobs_with_their_age(front):
+    apply_routing(front, build_routing(1, services=[build_service(engine=PROFILE)]))
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
     front.handle(A, EndpointChanges([EndpointNews(build_endpoint(), False)]), 1.0)
     for number in (1, 2):
@@ -153,8 +153,8 @@
     assert job.age == 1.0
 
 
-def test_front_without_a_leader_serves_but_wants_no_new_connections(front):
-    take(front, build_routing(1))
+def test_front_without_a_leader_admits_requests_but_is_not_ready(front):
+    apply_routing(front, build_routing(1))
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
     front.handle(A, LeaseReply(1.0, 1), 1.0)
     front.advance(1.0)
@@ -168,10 +168,10 @@
 
 @pytest.fixture
 def long_job(front):
-    """A long prompt that waits for its turn on several replicas, and its placement."""
-    take(front, build_routing(1, services=[build_service(engine=PROFILE)]))
-    news = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
-    front.handle(A, EndpointChanges(news), 1.0)
+    """A long prompt that is queued on several replicas, and its placement."""
+    apply_routing(front, build_routing(1, services=[build_service(engine=PROFILE)]))
+    changes = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
+    front.handle(A, EndpointChanges(changes), 1.0)
     work = build_work("long", 210_000)
     placement = front.place(work, 1.0)
     assert placement.helpers
@@ -179,29 +179,29 @@
     return work, placement
 
 
-def let_leave(front, upstream, now):
+def start_drain(front, upstream, now):
     number = int(upstream.removeprefix("i-"))
     change = EndpointNews(build_endpoint(number, sequence=2, is_draining=True), False)
     front.handle(A, EndpointChanges([change]), now)
 
 
-def test_replica_that_leaves_before_its_turn_is_seen(front, long_job):
+def test_replica_that_drains_before_the_job_starts_is_unusable(front, long_job):
     _, placement = long_job
     assert front.list_unusable(placement, 0.0) == set()
-    leaving = placement.helpers[-1].upstream
-    let_leave(front, leaving, 1.5)
-    assert front.list_unusable(placement, 0.0) == {leaving}
+    draining = placement.helpers[-1].upstream
+    start_drain(front, draining, 1.5)
+    assert front.list_unusable(placement, 0.0) == {draining}
 
 
-def test_job_without_the_replica_that_left_keeps_its_time(front, long_job):
+def test_job_without_its_draining_replica_keeps_its_age(front, long_job):
     work, placement = long_job
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
-    leaving = placement.helpers[-1].upstream
-    let_leave(front, leaving, 1.5)
+    draining = placement.helpers[-1].upstream
+    start_drain(front, draining, 1.5)
     kept = drop_replicas(placement, front.list_unusable(placement, 0.0))
-    assert leaving not in kept.upstreams
+    assert draining not in kept.upstreams
     messages = [action.message for action in front.replace_job(work.job, kept, 1.5)]
-    # The leader forgets the job first: it ignores what it knows already.
+    # The leader must drop the job first: it ignores jobs that it knows.
     assert messages[0] == JobStages([JobStage(work.job, is_ended=True)])
     (opened,) = messages[1].jobs
     assert opened.placement == kept
@@ -210,34 +210,34 @@
     assert front.scheduler.open_jobs == 1
 
 
-def test_front_without_a_lease_says_that_it_is_urgent(front):
+def test_lease_request_is_urgent_without_a_lease(front):
     actions = front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
     assert list_messages(actions, LeaseRequest)[0].is_urgent
-    take(front, build_routing(1))
+    apply_routing(front, build_routing(1))
     front.handle(A, LeaseReply(1.0, 1), 1.01)
     assert not list_messages(front.advance(2.0), LeaseRequest)[0].is_urgent
 
 
-def test_front_admits_as_soon_as_the_document_comes_after_the_lease(front):
+def test_front_admits_once_the_document_of_its_lease_arrives(front):
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
     front.handle(A, LeaseReply(1.0, 1), 1.01)
     assert not front.may_admit(1.02)
-    take(front, build_routing(1), now=1.03)
-    # Not only after the next question, which is 0.4 s away.
+    apply_routing(front, build_routing(1), now=1.03)
+    # Without waiting for the next lease request, 0.4 s later.
     assert front.may_admit(1.03)
 
 
-def test_leader_that_won_again_hears_all_open_jobs(front, long_job):
+def test_leader_of_a_newer_term_receives_all_open_jobs(front, long_job):
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
     again = front.handle(A, ControlStatus([A, B], A, 3, 2), 1.4)
     assert list_messages(again, OpenJobs)[0].jobs
     assert front.handle(A, ControlStatus([A, B], A, 3, 2), 1.5) == []
 
 
-def test_leader_hears_of_jobs_that_the_front_placed_alone(front):
-    take(front, build_routing(1, services=[build_service(engine=PROFILE)]))
-    news = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
-    front.handle(A, EndpointChanges(news), 1.0)
+def test_leader_receives_uncoordinated_jobs(front):
+    apply_routing(front, build_routing(1, services=[build_service(engine=PROFILE)]))
+    changes = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
+    front.handle(A, EndpointChanges(changes), 1.0)
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
     work = build_work("short", 5_000)
     placement = front.place(work, 1.3)
@@ -246,7 +246,7 @@
     assert front.open_job(work, placement, 1.3, is_uncoordinated=False) == []
 
 
-def test_control_instance_that_was_replaced_is_not_dialled_for_ever(front):
+def test_replaced_control_instance_is_not_dialled_once_its_link_is_lost(front):
     other = "10.1.0.3:7000"
     front.set_seeds([A])
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
@@ -256,7 +256,7 @@
     assert front.instances == {A, other}
 
 
-def test_minority_s_older_list_takes_no_instance_away(front):
+def test_list_of_an_older_term_removes_no_instance(front):
     other = "10.1.0.3:7000"
     front.set_seeds([])
     front.handle(A, ControlStatus([A, other], A, 5, 2), 1.0)
@@ -264,10 +264,10 @@
     assert front.instances == {A, B, other}
 
 
-def test_member_with_a_new_disk_takes_no_instance_away(front):
+def test_list_of_a_member_with_a_new_disk_removes_no_instance(front):
     other, newest = "10.1.0.3:7000", "10.1.0.4:7000"
     front.set_seeds([A])
     front.handle(A, ControlStatus([A, B, other], other, 5, 2), 1.0)
-    # It was replaced, and knows of the leader's first message only.
+    # It was replaced, and has received only the leader's first message.
     front.handle(B, ControlStatus([newest], other, 5, 2), 1.1)
     assert front.instances == {A, B, other, newest}
--- a/tests/unit/gateway/test_lost_replicas.py
+++ b/tests/unit/gateway/test_lost_replicas.py
@@ -1,9 +1,7 @@
-"""Replicas that cannot be reached, crashed in numbers, or started again.
+"""Replicas that are unreachable, crash in numbers, or restart.
 
-Loads of a deployment whose replicas are cut off, crash or are born again under their
-names, a fifth to a third of them at a time. A request that was not sent costs nobody
-anything, so it must be answered by another replica inside its target, and one that
-still has seconds left must not be refused while engines are idle.
+A request that was not sent must be served by another replica inside its target latency,
+and must not be rejected while it has time left and engines are idle.
 """
 
 import asyncio
@@ -32,7 +30,7 @@
 )
 
 TARGET = 0.3
-"""Seconds; that of a quick question. The connection time is a third of it."""
+"""Seconds; three times the timeout of a connection."""
 
 
 def build_plain(kind=RouteKind.IDEMPOTENT, **changes):
@@ -47,42 +45,42 @@
             front.add(2, good)
             for _ in range(6):
                 began = time.monotonic()
-                async with front.call() as answer:
-                    assert (answer.status, await answer.read()) == (200, b"done")
+                async with front.call() as response:
+                    assert (response.status, await response.read()) == (200, b"done")
                 assert time.monotonic() - began < TARGET
 
 
-async def test_request_that_was_not_sent_is_not_answered_as_if_it_may_have_run():
+async def test_request_that_was_not_sent_is_reported_as_not_run():
     with drop_connections() as dropped:
         async with run_front(build_plain(RouteKind.NON_IDEMPOTENT)) as front:
             front.add(1, dropped)
             for wait in (0.07, 0.09, 0.15, 1.0):
-                async with front.call(wait=wait) as answer:
-                    document = await answer.json(content_type=None)
-                assert (answer.status, document["ran"]) == (503, "no")
+                async with front.call(wait=wait) as response:
+                    document = await response.json(content_type=None)
+                assert (response.status, document["ran"]) == (503, "no")
 
 
-async def test_deadline_of_a_request_that_was_sent_may_have_run():
+async def test_request_that_was_sent_may_have_run_at_its_deadline():
     async def hang(request):
         await asyncio.Event().wait()
 
     routing = build_plain(RouteKind.NON_IDEMPOTENT)
-    async with run_front(routing) as front, serve(hang) as silent:
-        front.add(1, silent)
-        async with front.call(wait=0.3) as answer:
-            document = await answer.json(content_type=None)
-        assert (answer.status, document["ran"]) == (504, "unknown")
+    async with run_front(routing) as front, serve(hang) as unresponsive:
+        front.add(1, unresponsive)
+        async with front.call(wait=0.3) as response:
+            document = await response.json(content_type=None)
+        assert (response.status, document["ran"]) == (504, "unknown")
 
 
-async def test_unreachable_replica_is_told_of_like_one_that_fails():
+async def test_unreachable_replica_is_counted_as_failed():
     async with run_front(build_plain()) as front, serve(answer_sealed) as good:
         lost = front.add(1, find_closed_port())
         busy = front.add(2, good)
         for _ in range(4):
             front.runtime.instance.balancer.note_sent(busy.upstream)
-        # The lost one has nothing to do, so it is always tried first.
-        async with front.call() as answer:
-            assert answer.status == 200
+        # The unreachable one is idle, so it is always tried first.
+        async with front.call() as response:
+            assert response.status == 200
         seen = front.runtime.instance._outcomes
         assert seen[lost.upstream].failed >= 1
 
@@ -99,7 +97,7 @@
 
 
 class Engine:
-    """A replica that asks its helpers first, and names one that does not answer."""
+    """A lead replica that calls its helpers first, and names an unreachable one."""
 
     def __init__(self, is_dead):
         self.is_dead = is_dead
@@ -119,18 +117,17 @@
                 return web.Response(status=503, headers=headers)
         self.ran += 1
         echo = {"X-Request-Id": request.headers["X-Request-Id"], "X-Server-Seal": "s"}
-        answer = web.StreamResponse(headers=echo)
-        answer.content_type = "text/event-stream"
-        await answer.prepare(request)
-        await answer.write(b"id: 1\ndata: 1\n\n")
-        await answer.write_eof()
-        return answer
+        response = web.StreamResponse(headers=echo)
+        response.content_type = "text/event-stream"
+        await response.prepare(request)
+        await response.write(b"id: 1\ndata: 1\n\n")
+        await response.write_eof()
+        return response
 
 
 @pytest.mark.parametrize("dead", [1, 5, 9])
 async def test_long_prompt_is_read_though_several_of_its_group_crashed(dead):
-    # A crash of a seventh of sixty engines is nine at a time; a dossier is read by
-    # seventeen, so it meets two or more of them.
+    # A prefill group takes most of these replicas, so it meets several crashed ones.
     closed = {find_closed_port() for _ in range(dead)}
     async with run_front(build_engines()) as front:
         alive = [Engine(closed.__contains__) for _ in range(24 - dead)]
@@ -150,15 +147,15 @@
                 front.add(number, address)
             began = time.monotonic()
             for prompt in (400_000, 557_100):
-                async with front.call(prompt=prompt) as answer:
-                    assert answer.status == 200, await answer.text()
-                    await answer.read()
+                async with front.call(prompt=prompt) as response:
+                    assert response.status == 200, await response.text()
+                    await response.read()
             assert time.monotonic() - began < 4.0
             done.set()
         assert sum(engine.ran for engine in alive) == 2
 
 
-async def test_replicas_that_drop_packets_are_found_in_the_time_of_a_connection():
+async def test_replicas_that_drop_packets_are_found_within_the_connection_timeout():
     with drop_connections() as first, drop_connections() as second:
         async with run_front(build_engines()) as front, serve(answer_sealed) as good:
             inspector = front.runtime._inspector
@@ -166,23 +163,23 @@
             began = time.monotonic()
             found = await inspector.inspect(addresses, front.runtime.now())
             assert time.monotonic() - began < 0.25
-            # What answers, but is no report, is not silent.
+            # A response that is no report still shows that the replica is alive.
             assert sorted(found.silent) == ["i-1", "i-2"]
             assert found.paces == []
 
 
-def tell(front, endpoint):
+def register(front, endpoint):
     message = EndpointChanges([EndpointNews(endpoint, is_gone=False)])
     front.runtime._receive("control", message)
 
 
-def build_life(born, address):
+def build_incarnation(born, address):
     upstream = build_upstream_id("i-1", born)
     return build_endpoint(1, upstream=upstream, born=born, address=address)
 
 
 @pytest.mark.parametrize("kind", [RouteKind.IDEMPOTENT, RouteKind.NON_IDEMPOTENT])
-async def test_request_on_a_life_that_is_over_is_handled_as_after_a_crash(kind):
+async def test_request_on_a_restarted_replica_is_handled_as_after_a_crash(kind):
     arrived = []
 
     async def hang(request):
@@ -194,22 +191,22 @@
         serve(hang) as before,
         serve(answer_sealed) as after,
     ):
-        tell(front, build_life(1_000, before))
-        asking = asyncio.create_task(front.call(wait=8.0).__aenter__())
+        register(front, build_incarnation(1_000, before))
+        pending = asyncio.create_task(front.call(wait=8.0).__aenter__())
         await wait_for(lambda: arrived)
         began = time.monotonic()
-        tell(front, build_life(2_000, after))
-        answer = await asking
+        register(front, build_incarnation(2_000, after))
+        response = await pending
         assert time.monotonic() - began < 1.0
-        # It may have run there: only what may be repeated is sent to the next life.
-        assert answer.status == (200 if kind is RouteKind.IDEMPOTENT else 502)
-        answer.close()
+        # It may have run there: only idempotent calls are sent to the next incarnation.
+        assert response.status == (200 if kind is RouteKind.IDEMPOTENT else 502)
+        response.close()
         assert len(arrived) == 1
 
 
-async def test_answer_that_is_there_is_delivered_though_its_replica_started_again():
+async def test_received_response_is_delivered_though_its_replica_restarted():
     async with run_front(build_plain()) as front, serve(answer_sealed) as address:
-        tell(front, build_life(1_000, address))
-        async with front.call() as answer:
-            tell(front, build_life(2_000, address))
-            assert (answer.status, await answer.read()) == (200, b"done")
+        register(front, build_incarnation(1_000, address))
+        async with front.call() as response:
+            register(front, build_incarnation(2_000, address))
+            assert (response.status, await response.read()) == (200, b"done")
--- a/tests/unit/gateway/test_route_table.py
+++ b/tests/unit/gateway/test_route_table.py
@@ -61,9 +61,9 @@
             customers=[build_customer("a", "same"), build_customer("b", "same")]
         ),
     ],
-    ids=["unknown-service", "same-place", "no-weight", "no-timeout", "shared-key"],
+    ids=["unknown-service", "same-prefix", "no-weight", "no-timeout", "shared-key"],
 )
-def test_invalid_document_is_refused(routing):
+def test_invalid_document_is_rejected(routing):
     with pytest.raises(DocumentError) as caught:
         check_routing(routing)
     assert caught.value.kind is ErrorKind.INVALID_CONFIGURATION
--- a/tests/unit/gateway/test_routing_store.py
+++ b/tests/unit/gateway/test_routing_store.py
@@ -75,7 +75,7 @@
     return state.apply(encode_command(command), 0.0).version
 
 
-def test_highest_version_holds_and_is_handed_back_unchanged():
+def test_highest_version_is_stored_and_returned_unchanged():
     state = ControlState()
     assert put(state, build_routing(5), b'{"five": 1}') == 5
     assert put(state, build_routing(3), b'{"three": 1}') == 5
@@ -92,8 +92,8 @@
     assert restored.routing == state.routing
 
 
-def test_large_change_is_small_on_the_way():
-    # As many routes as the platform adds at once.
+def test_update_of_many_routes_is_small():
+    # The platform may add this many routes at once.
     routes = [
         build_route(name=f"r-{n}", host=f"h{n % 7}.example", path_prefix=f"/p{n}/")
         for n in range(1_400)
