--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -373,10 +373,10 @@
 
         Backoff is known to this front only, so the leader cannot exclude them.
         """
-        closed = self.backoffs.list_closed(now)
-        if not closed:
+        in_backoff = self.backoffs.list_closed(now)
+        if not in_backoff:
             return work
-        excluded = tuple({*work.excluded, *closed})
+        excluded = tuple({*work.excluded, *in_backoff})
         return msgspec.structs.replace(work, excluded=excluded)
 
     def list_unusable(self, placement: Placement, now: float) -> set[UpstreamId]:
@@ -442,7 +442,7 @@
         return self._send_to_leader(update) if update is not None else []
 
     def record_uncoordinated_send(self, upstream: UpstreamId) -> list[ToControl]:
-        """Report a request that is sent without the leader's send permit."""
+        """Report a request that is sent to a rate-limited upstream without a permit."""
         if not self.limits.is_limited(upstream):
             return []
         return self._send_to_leader(UncoordinatedSends([upstream]))
--- a/src/scalebend/core/gateway/link_history.py
+++ b/src/scalebend/core/gateway/link_history.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self._starts: dict[InstanceId, deque[float]] = {}
 
-    def note_start(self, peer: InstanceId, now: float) -> bool:
+    def record_start(self, peer: InstanceId, now: float) -> bool:
         """Record that a link to or from ``peer`` is up; return whether it is unstable.
 
         The count restarts after each ``True``, so that warnings don't flood the log.
--- a/src/scalebend/edges/gateway/links.py
+++ b/src/scalebend/edges/gateway/links.py
@@ -227,7 +227,7 @@
     def note_start(self, peer: InstanceId) -> None:
         """A link is up."""
         self._metrics.count_link_start()
-        if self._history.note_start(peer, asyncio.get_running_loop().time()):
+        if self._history.record_start(peer, asyncio.get_running_loop().time()):
             logger.warning("link unstable", instance=peer)
             self._metrics.count_unstable_link()
 
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -254,9 +254,9 @@
 
 def test_link_that_comes_up_again_and_again_is_unstable():
     history = LinkHistory()
-    starts = [history.note_start("a", float(n)) for n in range(MAX_STARTS + 1)]
+    starts = [history.record_start("a", float(n)) for n in range(MAX_STARTS + 1)]
     assert starts == [False] * MAX_STARTS + [True]
     # Said once, then counted anew.
-    assert not history.note_start("a", MAX_STARTS + 1.0)
-    rare = [history.note_start("b", n * WINDOW_S / 2) for n in range(40)]
+    assert not history.record_start("a", MAX_STARTS + 1.0)
+    rare = [history.record_start("b", n * WINDOW_S / 2) for n in range(40)]
     assert not any(rare)
