--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -16,10 +16,10 @@
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.limited_placement import LimitedPlacement
 from scalebend.core.gateway.messages import (
-    FrontPlace,
-    LimitNews,
-    SendAnswer,
-    SendQuestion,
+    FrontNumber,
+    LimitUpdates,
+    SendPermitReply,
+    SendPermitRequest,
 )
 from scalebend.core.request_limits import RequestLimits
 from scalebend.core.send_budget import LeaderShare, SendBudget
@@ -155,7 +155,7 @@
         actions = self._send_positions() if self._has_new_positions else []
         if self._changed:
             # One message object for all fronts, so that it is encoded once.
-            update = LimitNews(list(self._changed.values()))
+            update = LimitUpdates(list(self._changed.values()))
             self._changed.clear()
             actions += [ToFront(front, update) for front in self._linked]
         return actions
@@ -163,13 +163,13 @@
     def send_all(self, front: InstanceId) -> list[ToFront]:
         """Send all limits to a newly linked front, before it sends any request."""
         limits = self.limits.list_all()
-        return [ToFront(front, LimitNews(limits))] if limits else []
+        return [ToFront(front, LimitUpdates(limits))] if limits else []
 
     def _send_positions(self) -> list[ToFront]:
         self._has_new_positions = False
         fronts = len(self._linked) + len(self._lost)
         return [
-            ToFront(front, FrontPlace(fronts, number))
+            ToFront(front, FrontNumber(fronts, number))
             for number, front in enumerate(self._linked)
         ]
 
@@ -192,12 +192,12 @@
         return self.placement.place(scheduler, work, endpoints, profile, now)
 
     def grant(
-        self, request: SendQuestion, now: float, *, may_grant: bool
-    ) -> SendAnswer:
+        self, request: SendPermitRequest, now: float, *, may_grant: bool
+    ) -> SendPermitReply:
         """Grant a send to one of the upstreams within the requested wait."""
         if not may_grant:
             _, wait = self.budget.find_soonest(request.upstreams, now)
             # After the lease time it is known which instance leads.
-            return SendAnswer(request.question, None, max(wait, GRANT_LEASE_S))
-        upstream, wait = self.budget.grant(request.upstreams, request.patience, now)
-        return SendAnswer(request.question, upstream, wait)
+            return SendPermitReply(request.request_id, None, max(wait, GRANT_LEASE_S))
+        upstream, wait = self.budget.grant(request.upstreams, request.timeout_s, now)
+        return SendPermitReply(request.request_id, upstream, wait)
--- a/tests/unit/gateway/test_limit_exchange.py
+++ b/tests/unit/gateway/test_limit_exchange.py
@@ -5,7 +5,7 @@
     UPDATE_PERIOD_S,
     LimitExchange,
 )
-from scalebend.core.gateway.messages import FrontPlace, LimitNews, SendQuestion
+from scalebend.core.gateway.messages import FrontNumber, LimitUpdates, SendPermitRequest
 from scalebend.models.ids import InstanceId, SendId, UpstreamId
 from scalebend.models.request_limits import HeardLimit, RequestLimit
 
@@ -24,7 +24,7 @@
 def count_granted(exchange, start, seconds, *, may_grant=True):
     granted = 0
     for step in range(seconds * 10):
-        request = SendQuestion(SendId(step), [UPSTREAM], 0.0)
+        request = SendPermitRequest(SendId(step), [UPSTREAM], 0.0)
         reply = exchange.grant(request, start + step / 10, may_grant=may_grant)
         granted += reply.upstream is not None
     return granted
@@ -55,12 +55,12 @@
 def test_changed_limit_is_published_once_to_all_fronts():
     exchange = build_exchange()
     sent = exchange.send_due(1.0, is_leader=True)
-    updates = [one.message for one in sent if isinstance(one.message, LimitNews)]
-    positions = [one.message for one in sent if isinstance(one.message, FrontPlace)]
-    assert updates == [LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
+    updates = [one.message for one in sent if isinstance(one.message, LimitUpdates)]
+    positions = [one.message for one in sent if isinstance(one.message, FrontNumber)]
+    assert updates == [LimitUpdates([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
     # One object for all fronts, so that it is encoded once.
     assert len({id(one) for one in updates}) == 1
-    assert positions == [FrontPlace(4, number) for number in range(4)]
+    assert positions == [FrontNumber(4, number) for number in range(4)]
     assert exchange.send_due(2.0, is_leader=True) == []
     exchange.receive(FRONTS[1], [HeardLimit(UPSTREAM, 1.0, 1)], 2.0)
     assert exchange.send_due(3.0, is_leader=True) == []
@@ -73,13 +73,13 @@
     exchange.send_due(1.0, is_leader=True)
     exchange.remove_front(FRONTS[1], 2.0)
     sent = exchange.send_due(3.0, is_leader=True)
-    assert [one.message for one in sent] == [FrontPlace(4, n) for n in range(3)]
+    assert [one.message for one in sent] == [FrontNumber(4, n) for n in range(3)]
 
 
 def test_newly_linked_front_receives_all_limits():
     exchange = build_exchange()
     (snapshot,) = exchange.send_all(FRONTS[2])
-    assert snapshot.message == LimitNews([RequestLimit(UPSTREAM, 1.0, 1)])
+    assert snapshot.message == LimitUpdates([RequestLimit(UPSTREAM, 1.0, 1)])
     assert LimitExchange().send_all(FRONTS[2]) == []
 
 
--- a/tests/unit/gateway/test_limit_sums.py
+++ b/tests/unit/gateway/test_limit_sums.py
@@ -175,8 +175,8 @@
         for _, front, job, upstream, known in due:
             rate = self.engines[upstream].rate
             reported = HeardLimit(upstream, rate, known.revision)
-            self.deployment.note_stage(front, job, is_ended=True)
-            self.deployment.hear_limit(front, reported)
+            self.deployment.record_stage(front, job, is_ended=True)
+            self.deployment.record_limit(front, reported)
 
 
 TestLimitSums = LimitMachine.TestCase
--- a/tests/unit/gateway/test_limited_engines.py
+++ b/tests/unit/gateway/test_limited_engines.py
@@ -63,12 +63,12 @@
         for response in [one for one in self._responses if one[0] <= now]:
             self._responses.remove(response)
             _, front, job, reported = response
-            self.deployment.note_stage(front, job, is_ended=False)
-            self.deployment.hear_limit(front, reported)
+            self.deployment.record_stage(front, job, is_ended=False)
+            self.deployment.record_limit(front, reported)
         for ending in [one for one in self._open if one[0] <= now]:
             self._open.remove(ending)
             _, front, job = ending
-            self.deployment.note_stage(front, job, is_ended=True)
+            self.deployment.record_stage(front, job, is_ended=True)
 
     def _arrive(self, now):
         front = self.chooser.choice(self.deployment.fronts)
@@ -130,7 +130,7 @@
     names = [endpoint.upstream for endpoint in deployment.endpoints]
     load.limits = dict.fromkeys(names, limit)
     for name in names:
-        deployment.hear_limit(deployment.fronts[0], HeardLimit(name, limit, 0))
+        deployment.record_limit(deployment.fronts[0], HeardLimit(name, limit, 0))
     return names
 
 
@@ -271,7 +271,7 @@
     limited = {endpoint.upstream for endpoint in deployment.endpoints[:6]}
     for upstream in limited:
         reported = HeardLimit(upstream, 5.0, 0)
-        deployment.hear_limit(deployment.fronts[0], reported)
+        deployment.record_limit(deployment.fronts[0], reported)
     deployment.run(3.0)
     placement = deployment.place(deployment.fronts[1], build_work(9_000, 200_000))
     assert len(placement.upstreams) > 4
@@ -282,7 +282,7 @@
     deployment = build_deployment(2, 18, has_engines=True)
     for endpoint in deployment.endpoints:
         reported = HeardLimit(endpoint.upstream, 1.0, 0)
-        deployment.hear_limit(deployment.fronts[0], reported)
+        deployment.record_limit(deployment.fronts[0], reported)
     deployment.run(3.0)
     placement = deployment.place(deployment.fronts[1], build_work(1, 200_000))
     assert len(placement.upstreams) > 4
--- a/tests/unit/gateway/test_outlier_detector.py
+++ b/tests/unit/gateway/test_outlier_detector.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from scalebend.core.gateway.messages import EjectedUpstreams, OutcomesSeen
+from scalebend.core.gateway.messages import AttemptOutcomes, EjectedUpstreams
 from scalebend.core.gateway.outlier_detector import (
     FIRST_EJECTION_S,
     MAX_EJECTION_S,
@@ -112,8 +112,8 @@
     for _ in range(int(7.5 * 15)):
         deployment.run(1 / 15)
         front = chooser.choice(deployment.fronts)
-        chosen = deployment.choose_service(front, chooser)
-        front.note_outcome(chosen, has_failed=chosen == failing)
+        chosen = deployment.choose_upstream(front, chooser)
+        front.record_outcome(chosen, has_failed=chosen == failing)
         lost += chosen == failing
     # Three failures lead to the ejection, and some more happen meanwhile; if fronts did
     # not report, it would be one in five of 112 calls.
@@ -122,7 +122,7 @@
 
 def test_new_front_receives_ejections_and_their_end(deployment):
     leader = deployment.leader
-    seen = OutcomesSeen([UpstreamOutcomes(deployment.endpoints[0].upstream, 0, 3)])
+    seen = AttemptOutcomes([UpstreamOutcomes(deployment.endpoints[0].upstream, 0, 3)])
     sent = leader.handle_front(deployment.names[0], seen, deployment.now)
     assert [a.message for a in sent if isinstance(a.message, EjectedUpstreams)]
     greeted = leader.add_front("front-late", deployment.now)
@@ -140,8 +140,8 @@
     front = deployment.fronts[0]
     failing = deployment.endpoints[0].upstream
     front.handle("10.9.9.9:7000", EjectedUpstreams([failing]), deployment.now)
-    chosen = {deployment.choose_service(front, random.Random(n)) for n in range(40)}
+    chosen = {deployment.choose_upstream(front, random.Random(n)) for n in range(40)}
     assert failing in chosen
     front.handle(deployment.leader.me, EjectedUpstreams([failing]), deployment.now)
-    chosen = {deployment.choose_service(front, random.Random(n)) for n in range(40)}
+    chosen = {deployment.choose_upstream(front, random.Random(n)) for n in range(40)}
     assert failing not in chosen
