--- a/src/scalebend/core/consensus/__init__.py
+++ b/src/scalebend/core/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The control group's replicated log: elections, replication, members, snapshots."""
+"""Raft replicated log: elections, replication, membership changes, snapshots."""
--- a/src/scalebend/core/consensus/log.py
+++ b/src/scalebend/core/consensus/log.py
@@ -1,4 +1,4 @@
-"""The entries of a log after its last snapshot, in memory."""
+"""In-memory log entries after the last snapshot."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EntryLog:
-    """Entries from ``base_index + 1`` on; the base is the snapshot's last entry."""
+    """Entries from ``base_index + 1`` on; the base is the last entry snapshotted."""
 
     def __init__(self, snapshot: Snapshot | None, entries: list[LogEntry]) -> None:
         self.base_index = snapshot.index if snapshot else LogIndex(0)
@@ -29,7 +29,7 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def get_term(self, index: LogIndex) -> Term | None:
-        """Term of the entry at ``index``; ``None`` when it is not here."""
+        """Term of the entry at ``index``; ``None`` if compacted or not yet known."""
         if index == self.base_index:
             return self.base_term
         position = index - self.base_index - 1
@@ -37,32 +37,32 @@
             return self._entries[position].term
         return None
 
-    def read(self, start: LogIndex, most: int) -> list[LogEntry]:
+    def read(self, start: LogIndex, limit: int) -> list[LogEntry]:
         """Up to ``most`` entries from ``start`` on."""
         position = max(0, start - self.base_index - 1)
-        return self._entries[position : position + most]
+        return self._entries[position : position + limit]
 
     def append(self, entry: LogEntry) -> None:
-        """Add an entry at the end."""
+        """Append one entry."""
         self._entries.append(entry)
 
     def truncate(self, start: LogIndex) -> None:
-        """Drop the entries from ``start`` on."""
+        """Remove the entries from ``start`` on."""
         del self._entries[max(0, start - self.base_index - 1) :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drop the entries that ``snapshot`` covers."""
+        """Remove the entries that ``snapshot`` covers."""
         if snapshot.index <= self.base_index:
             return
-        keeps_tail = self.get_term(snapshot.index) == snapshot.term
+        matches_snapshot = self.get_term(snapshot.index) == snapshot.term
         tail = self.read(LogIndex(snapshot.index + 1), len(self._entries))
-        self._entries = tail if keeps_tail else []
+        self._entries = tail if matches_snapshot else []
         self.base_index = snapshot.index
         self.base_term = snapshot.term
         self.base_members = snapshot.members
 
     def find_members(self, up_to: LogIndex | None = None) -> Members | None:
-        """The newest member list, which counts from the moment it is appended."""
+        """Newest member list up to ``up_to``; a list takes effect once appended."""
         for entry in reversed(self._entries):
             if up_to is not None and entry.index > up_to:
                 continue
@@ -71,7 +71,7 @@
         return self.base_members
 
     def find_last_members_index(self) -> LogIndex:
-        """Index of the entry that holds the newest member list."""
+        """Index of the entry with the newest member list."""
         for entry in reversed(self._entries):
             if entry.members is not None:
                 return entry.index
--- a/src/scalebend/core/consensus/messages.py
+++ b/src/scalebend/core/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages and records of the replicated log."""
+"""Messages and stored records of the replicated log."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from scalebend.models.ids import InstanceId, LogIndex, Term
 
 DiskId = NewType("DiskId", str)
-"""Random name of a data folder; a replaced disk has a new one."""
+"""Random identifier of a data folder; a replacement disk gets a new one."""
 
 
 class Member(msgspec.Struct, frozen=True, order=True):
-    """One vote: an instance together with the disk that its vote is kept on."""
+    """A group member: an instance and the disk that stores its vote."""
 
     instance: InstanceId
     disk: DiskId
 
 
 class Members(msgspec.Struct, frozen=True):
-    """Voters, and learners that receive the log but have no vote yet."""
+    """Voters, and learners that receive the log but cannot vote yet."""
 
     voters: frozenset[Member]
     learners: frozenset[Member] = frozenset()
@@ -31,15 +31,15 @@
         return self.voters | self.learners
 
     def is_quorum(self, members: set[Member]) -> bool:
-        """Whether ``members`` hold a majority of the votes."""
+        """Whether ``members`` include a majority of the voters."""
         return len(self.voters & members) * 2 > len(self.voters)
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One entry; ``at`` is the leader's wall clock in seconds when it was proposed.
+    """One entry; ``at`` is the leader's wall clock in seconds at the proposal.
 
-    Exactly one of ``command`` and ``members`` is set, or neither for the empty entry
-    that a new leader starts its term with.
+    Either ``command`` or ``members`` is set; neither is in the empty entry that a new
+    leader appends at the start of its term.
     """
 
     index: LogIndex
@@ -50,7 +50,7 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag=True):
-    """Candidate to voter; a pre-vote changes no state at either side."""
+    """Candidate to voter; a pre-vote changes neither term nor vote on either side."""
 
     sender: Member
     term: Term
@@ -70,7 +70,7 @@
 
 
 class Append(msgspec.Struct, frozen=True, tag=True):
-    """Leader to member: entries after ``previous``; empty as a heartbeat."""
+    """Leader to member: entries after ``previous_index``; none in a heartbeat."""
 
     sender: Member
     term: Term
@@ -82,7 +82,10 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True):
-    """Member to leader; ``index`` is the last matching entry, or a hint to retry."""
+    """Member to leader.
+
+    ``index`` is the last matching entry, or on rejection the last that may match.
+    """
 
     sender: Member
     term: Term
@@ -92,7 +95,10 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag=True):
-    """Leader to member whose missing entries were compacted; one chunk of state."""
+    """Leader to member whose missing entries are compacted: one chunk of state.
+
+    ``offset`` and ``size`` (of the whole state) are in bytes.
+    """
 
     sender: Member
     term: Term
@@ -114,7 +120,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag=True):
-    """Leader to its chosen successor: start an election at once (planned stop)."""
+    """Leader to its chosen successor: start an election without waiting."""
 
     sender: Member
     term: Term
@@ -132,7 +138,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State of the whole machine after ``index``."""
+    """Encoded state machine after the entry at ``index``."""
 
     index: LogIndex
     term: Term
@@ -141,16 +147,16 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a member must remember before it answers."""
+    """Term and vote, which must be durable before a member replies."""
 
     term: Term
     voted_for: Member | None
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """One write, durable as a whole or not at all.
+    """One atomic write.
 
-    Entries from ``truncate_from`` on are dropped before ``entries`` are appended.
+    Entries from ``truncate_from`` on are removed before ``entries`` are appended.
     """
 
     hard_state: HardState | None = None
@@ -159,7 +165,7 @@
 
 
 class Recovered(msgspec.Struct):
-    """What a data folder held at start."""
+    """Contents of a data folder at start."""
 
     disk: DiskId
     hard_state: HardState
@@ -168,16 +174,16 @@
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A message for one member."""
+    """A message addressed to one member."""
 
     to: Member
     message: ConsensusMessage
 
 
 class Ready(msgspec.Struct):
-    """What the caller must do, in this order: persist, install, send, apply.
+    """Work for the caller, in this order: persist, install, send, apply.
 
-    ``snapshot`` was received from a leader: it replaces stored and applied state.
+    ``snapshot`` comes from a leader and replaces the stored and the applied state.
     """
 
     persist: Persist | None
@@ -187,7 +193,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether there is no work."""
         return (
             self.persist is None
             and self.snapshot is None
--- a/src/scalebend/core/consensus/progress.py
+++ b/src/scalebend/core/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other member, and what a quorum of them holds."""
+"""Replication progress of each member, as tracked by the leader."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from scalebend.models.ids import LogIndex
 
 MOST_ROUNDS = 64
-"""Unanswered appends whose times are kept for each member."""
+"""Unacknowledged appends whose send times are kept for each member."""
 
 CATCH_UP_GAP = 16
-"""A learner this few entries behind may become a voter."""
+"""Entries by which a learner may lag and still become a voter."""
 
 T = TypeVar("T", bound=float)
 
 
 class _SentRound(msgspec.Struct, frozen=True):
-    """One append that a member has not answered, and when it was sent."""
+    """An append that a member has not acknowledged, and when it was sent."""
 
     round: int
     sent_at: float
 
 
 class Progress(msgspec.Struct):
-    """How far one member's log is known to agree; times in seconds.
+    """How far one member's log is known to match the leader's; times in seconds.
 
-    ``confirmed_at`` is when the newest append that it answered in this term was *sent*.
+    ``confirmed_at`` is the *send* time of the newest append acknowledged in this term.
     """
 
     next_index: LogIndex
@@ -41,31 +41,31 @@
     confirmed_at: float = -1e9
     in_flight: bool = False
     snapshot_offset: int | None = None
-    """Bytes of a snapshot that the member has, while it is sent one."""
+    """Bytes of the snapshot that the member has; ``None`` when none is being sent."""
 
     def note_sent(self, number: int, now: float) -> None:
-        """An append with this round's number was sent."""
+        """Record that the append with this round number was sent."""
         self.rounds.append(_SentRound(number, now))
         if len(self.rounds) > MOST_ROUNDS:
             self.rounds.popleft()
 
     def note_heard(self, now: float) -> None:
-        """The member answered something."""
+        """Record that the member replied to any message."""
         self.heard = now
         self.in_flight = False
 
     def note_answered(self, number: int) -> None:
-        """The member answered an append, and so had those before it."""
+        """Record that the member acknowledged this append and all before it."""
         while self.rounds and self.rounds[0].round <= number:
             self.confirmed_at = self.rounds.popleft().sent_at
 
     def note_match(self, index: LogIndex) -> None:
-        """The member's log agrees up to ``index``, and is synced so far."""
+        """Record that the member's log matches and is durable up to ``index``."""
         self.match_index = max(self.match_index, index)
         self.next_index = LogIndex(self.match_index + 1)
 
     def step_back(self, index: LogIndex) -> None:
-        """The member refused an append; its log may agree up to ``index``."""
+        """Record a rejected append; the member's log may match up to ``index``."""
         retry_from = min(index + 1, self.next_index - 1)
         self.next_index = LogIndex(max(self.match_index + 1, retry_from))
 
@@ -77,7 +77,7 @@
 
 
 def find_held_by_quorum(values: Mapping[Member, T], members: Members) -> T | None:
-    """The largest value that a quorum has reached; ``None`` when there is none."""
+    """Largest value that a quorum has reached; ``None`` if no quorum reported one."""
     for candidate in sorted(set(values.values()), reverse=True):
         if members.is_quorum({m for m, value in values.items() if value >= candidate}):
             return candidate
--- a/src/scalebend/core/consensus/replica.py
+++ b/src/scalebend/core/consensus/replica.py
@@ -1,8 +1,8 @@
-"""One member of the control group: election, replication and member changes.
+"""One member of the control group: elections, replication and membership changes.
 
-The rules are those of the Raft algorithm with pre-vote, check-quorum, learners and
-one-at-a-time member changes. The class has no I/O: the caller hands in messages and
-the present time, then takes a :class:`Ready` and carries it out in its order.
+Implements Raft with pre-vote, check-quorum, learners and single-server membership
+changes. The class does no I/O: the caller passes in messages and the current time,
+then takes a :class:`Ready` and carries it out in the order that it prescribes.
 """
 
 from __future__ import annotations
@@ -35,37 +35,40 @@
 from scalebend.models.ids import InstanceId, LogIndex, Term
 
 HEARTBEAT = 0.1
-"""Seconds between two messages of a leader to each member."""
+"""Longest time between two messages from a leader to each member."""
 
 LEAST_BETWEEN_ROUNDS = 0.01
-"""Seconds between two messages to a member when somebody waits for a confirmation: many
-who wait are served by one round."""
+"""Shortest time between two messages to a member while a leadership confirmation is
+pending, so that one round serves several callers."""
 
 ELECTION_TIMEOUT = 0.45
-"""Seconds without a leader before a member asks for votes; up to twice by chance. More
-than four heartbeats: a link that loses packets delays some by a retransmission."""
+"""Time without a leader before a member starts an election, randomized up to twice.
+
+Covers several heartbeats: packet loss delays some of them by a retransmission."""
 
 SUSPICION = 0.25
-"""Seconds after the loss of the leader's link, up to twice by chance, before a member
-asks for votes: a leader that lives has dialled again and sent a heartbeat by then."""
+"""Time after the link to the leader breaks before a member starts an election,
+randomized up to twice: a live leader reconnects and sends a heartbeat within it."""
 
 START_TIMEOUT = 0.12
-"""Seconds between two pre-votes of a member that has met no leader since its start; up
-to twice by chance. If there is a leader, it is heard within a heartbeat, and a pre-vote
-does it no harm; after all members restarted, nobody need wait longer."""
+"""Time between pre-votes of a member that has known no leader since its start,
+randomized up to twice.
+
+An existing leader sends a heartbeat within this time, and a pre-vote does not disturb
+it; without a leader, as after a restart of all members, waiting longer is useless."""
 
 QUORUM_TIMEOUT = 0.6
-"""Seconds without an answer from a quorum before a leader steps down."""
+"""Time without replies from a quorum before a leader steps down."""
 
 MOST_ENTRIES = 256
-"""Entries in one message."""
+"""Entries in one append message."""
 
 SNAPSHOT_CHUNK = 256 * 1024
-"""Bytes of state in one message."""
+"""State in one snapshot message."""
 
 
 class ReplicaRole(Enum):
-    """Part that a member plays in its term."""
+    """Role of a member in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -74,7 +77,7 @@
 
 
 class Replica:
-    """State of one member."""
+    """Raft state of one member."""
 
     def __init__(
         self, me: Member, recovered: Recovered, *, now: float, seed: int = 0
@@ -87,28 +90,28 @@
         self.commit_index = self.log.base_index
         self._voted_for = recovered.hard_state.voted_for
         self._snapshot = recovered.snapshot
-        self._applied = self.log.base_index
-        self._stable = self.log.last_index
-        self._chooser = random.Random(f"{seed}/{me.instance}/{me.disk}")
+        self._applied_index = self.log.base_index
+        self._durable_index = self.log.last_index
+        self._random = random.Random(f"{seed}/{me.instance}/{me.disk}")
         self._members = self.log.find_members()
         self._progress: dict[Member, Progress] = {}
         self._votes: set[Member] = set()
         self._round = 0
-        self._heard_leader = -1e9
-        self._has_met_leader = False
-        self._deadline = 0.0
-        self._incoming = bytearray()
+        self._leader_heard_at = -1e9
+        self._has_known_leader = False
+        self._election_deadline = 0.0
+        self._incoming_state = bytearray()
         self._incoming_index = LogIndex(0)
         self._outbox: list[Outgoing] = []
         self._hard_state_changed = False
         self._truncate_from: LogIndex | None = None
-        self._received: Snapshot | None = None
+        self._received_snapshot: Snapshot | None = None
         self._last_now = now
-        self._reset_deadline(now)
+        self._reset_election_deadline(now)
 
     @property
     def members(self) -> Members | None:
-        """The member list in effect; ``None`` before the group was formed."""
+        """Member list in effect; ``None`` before the group is formed."""
         return self._members
 
     @property
@@ -122,31 +125,31 @@
         return self._members is not None and self.me in self._members.voters
 
     def form_group(self, members: Members) -> None:
-        """Write the first member list into an empty log."""
+        """Append the first member list to an empty log; otherwise do nothing."""
         if self._members is not None or self.log.last_index:
             return
-        # The same entry at every founder, so that any of them may be elected.
+        # Every founder writes the same entry, so that any of them can be elected.
         entry = LogEntry(LogIndex(1), Term(0), 0.0, members=members)
         self.log.append(entry)
         self._members = members
-        self._reset_deadline(self._last_now)
+        self._reset_election_deadline(self._last_now)
 
     # Proposals
 
     def propose(self, command: bytes, at: float, now: float) -> LogIndex | None:
-        """Append a command; ``None`` when this member does not lead."""
+        """Append a command; return its index, or ``None`` if not leader."""
         if not self.is_leader:
             return None
-        return self._append_own(LogEntry(self._next_index(), self.term, at, command))
+        return self._append_to_log(LogEntry(self._next_index(), self.term, at, command))
 
     def propose_members(
         self, members: Members, at: float, now: float
     ) -> LogIndex | None:
-        """Append a member change; ``None`` unless the last one is committed."""
+        """Append a member list; ``None`` if not leader or a change is pending."""
         if not self.is_leader or not self.can_change_members():
             return None
         entry = LogEntry(self._next_index(), self.term, at, members=members)
-        index = self._append_own(entry)
+        index = self._append_to_log(entry)
         self._set_members(members, now)
         return index
 
@@ -161,22 +164,22 @@
         return progress is not None and progress.is_caught_up(self.log.last_index)
 
     def compute_confirmed_at(self, now: float) -> float | None:
-        """Latest moment at which a quorum surely had no other leader.
+        """Latest time at which this member was certainly the only leader.
 
-        An append sent at that moment was answered by a quorum in this term, so
-        nothing that another leader committed before it can be missing here. ``None``
-        for a member that does not lead, or has applied nothing of its term.
+        A quorum acknowledged an append that was sent at that time in this term, so
+        every entry committed earlier by another leader is in this log. ``None`` if
+        this member is not leader or has applied no entry of its term.
         """
         if not self.is_leader or self._members is None:
             return None
-        if self.log.get_term(self._applied) != self.term:
+        if self.log.get_term(self._applied_index) != self.term:
             return None
         times = {m: progress.confirmed_at for m, progress in self._progress.items()}
         times[self.me] = now
         return find_held_by_quorum(times, self._members)
 
     def hasten_confirmation(self, since: float, now: float) -> None:
-        """As leader, ask all members at once who were last asked before ``since``."""
+        """As leader, send at once to members with no message since ``since``."""
         if not self.is_leader:
             return
         for member, progress in self._progress.items():
@@ -184,25 +187,25 @@
                 self._replicate(member, progress, now)
 
     def note_link_lost(self, instance: InstanceId, now: float) -> None:
-        """The link from an instance was lost: if it leads, it may have died."""
+        """Shorten the election timeout if the instance behind the broken link leads."""
         if self.leader is None or self.is_leader or self.leader.instance != instance:
             return
-        # No longer in touch: others may be voted for, unless it is heard again.
-        self._heard_leader = -math.inf
-        suspected = now + SUSPICION * self._chooser.uniform(1.0, 2.0)
-        self._deadline = min(self._deadline, suspected)
+        # Allows votes for other candidates until the leader is heard again.
+        self._leader_heard_at = -math.inf
+        suspected = now + SUSPICION * self._random.uniform(1.0, 2.0)
+        self._election_deadline = min(self._election_deadline, suspected)
 
-    def list_silent(self, longest: float, now: float) -> list[Member]:
-        """As leader, members that have not answered for ``longest`` seconds."""
+    def list_silent(self, timeout: float, now: float) -> list[Member]:
+        """As leader, members without a reply for ``timeout`` seconds, longest first."""
         silent = [
             (progress.heard, member)
             for member, progress in self._progress.items()
-            if now - progress.heard > longest
+            if now - progress.heard > timeout
         ]
         return [member for _, member in sorted(silent)]
 
     def transfer_leadership(self, now: float) -> Member | None:
-        """Ask the most advanced voter to take over; return it."""
+        """Ask the voter with the most complete log to take over; return it."""
         if not self.is_leader or self._members is None:
             return None
         others = [m for m in sorted(self._members.voters) if m != self.me]
@@ -215,19 +218,19 @@
     # Time
 
     def advance(self, now: float) -> None:
-        """Act on time: heartbeats, step-down without a quorum, elections."""
+        """Run what is due: heartbeats, step-down without a quorum, elections."""
         self._last_now = now
         if self._members is None:
             return
         if self.is_leader:
-            self._lead(now)
-        elif now >= self._deadline and self.is_voter:
+            self._advance_leader(now)
+        elif now >= self._election_deadline and self.is_voter:
             self._start_election(now, is_pre_vote=True)
 
     # Messages
 
     def handle(self, message: ConsensusMessage, now: float) -> None:
-        """Take one message of another member."""
+        """Process a message from another member."""
         self._last_now = now
         if self._members is None and not isinstance(message, Append | InstallSnapshot):
             return
@@ -241,7 +244,7 @@
             case AppendReply():
                 self._handle_append_reply(message, now)
             case InstallSnapshot():
-                self._handle_install(message, now)
+                self._handle_install_snapshot(message, now)
             case SnapshotReply():
                 self._handle_snapshot_reply(message, now)
             case TimeoutNow():
@@ -251,51 +254,51 @@
     # Output
 
     def take_ready(self) -> Ready:
-        """Return what must be carried out now; call :meth:`confirm` after it."""
-        entries = self.log.read(LogIndex(self._stable + 1), len(self.log))
+        """Return the pending work; call :meth:`confirm` once it is carried out."""
+        entries = self.log.read(LogIndex(self._durable_index + 1), len(self.log))
         persist = None
         if self._hard_state_changed or entries or self._truncate_from is not None:
             persist = Persist(self.read_hard_state(), self._truncate_from, entries)
         committed = []
-        if self.commit_index > self._applied:
-            first = LogIndex(self._applied + 1)
-            committed = self.log.read(first, self.commit_index - self._applied)
-        ready = Ready(persist, self._received, self._outbox, committed)
+        if self.commit_index > self._applied_index:
+            first = LogIndex(self._applied_index + 1)
+            committed = self.log.read(first, self.commit_index - self._applied_index)
+        ready = Ready(persist, self._received_snapshot, self._outbox, committed)
         self._outbox = []
-        self._received = None
+        self._received_snapshot = None
         self._hard_state_changed = False
         self._truncate_from = None
         return ready
 
     def confirm(self, ready: Ready) -> None:
-        """The ready was carried out: its entries are durable and applied."""
+        """Record that ``ready`` was carried out, its entries durable and applied."""
         if ready.persist is not None and ready.persist.entries:
-            self._stable = ready.persist.entries[-1].index
+            self._durable_index = ready.persist.entries[-1].index
             if self.is_leader:
                 self._advance_commit()
         if ready.committed:
-            self._applied = max(self._applied, ready.committed[-1].index)
+            self._applied_index = max(self._applied_index, ready.committed[-1].index)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """A snapshot was stored: drop the entries that it covers."""
+        """Remove the entries that a stored snapshot covers."""
         self._snapshot = snapshot
         self.log.compact(snapshot)
 
     def build_snapshot(self, state: bytes) -> Snapshot:
-        """Describe the applied state for storage."""
-        members = self.log.find_members(self._applied)
-        term = self.log.get_term(self._applied)
+        """Build a snapshot from the encoded applied state."""
+        members = self.log.find_members(self._applied_index)
+        term = self.log.get_term(self._applied_index)
         assert members is not None and term is not None
-        return Snapshot(self._applied, term, members, state)
+        return Snapshot(self._applied_index, term, members, state)
 
     def read_hard_state(self) -> HardState:
-        """The term and vote as they must be stored."""
+        """Return the term and vote to store."""
         return HardState(self.term, self._voted_for)
 
     @property
     def applied_entries(self) -> int:
-        """Applied entries that no snapshot covers yet."""
-        return self._applied - self.log.base_index
+        """Number of applied entries that no snapshot covers yet."""
+        return self._applied_index - self.log.base_index
 
     # Election
 
@@ -304,7 +307,7 @@
     ) -> None:
         assert self._members is not None
         self.leader = None
-        self._reset_deadline(now)
+        self._reset_election_deadline(now)
         self._votes = {self.me}
         if is_pre_vote:
             self.role = ReplicaRole.PRE_CANDIDATE
@@ -335,9 +338,9 @@
             self._become_leader(now)
 
     def _handle_vote_request(self, request: VoteRequest, now: float) -> None:
-        # A member in touch with its leader does not help to unseat it; this also
-        # keeps a returning, isolated member from raising the term.
-        has_leader = self.is_leader or now - self._heard_leader < ELECTION_TIMEOUT
+        # Ignores elections while a leader is known, so that a member which returns
+        # from a partition cannot raise the term and depose the leader.
+        has_leader = self.is_leader or now - self._leader_heard_at < ELECTION_TIMEOUT
         if has_leader and not request.is_transfer and request.term > self.term:
             self._reply_vote(request, is_granted=False)
             return
@@ -346,12 +349,12 @@
         is_current = request.term > self.term or (
             request.term == self.term and not request.is_pre_vote
         )
-        is_free = request.is_pre_vote or self._voted_for in (None, request.sender)
-        is_granted = is_current and is_free and self._is_up_to_date(request)
+        is_vote_free = request.is_pre_vote or self._voted_for in (None, request.sender)
+        is_granted = is_current and is_vote_free and self._is_up_to_date(request)
         if is_granted and not request.is_pre_vote:
             self._voted_for = request.sender
             self._hard_state_changed = True
-            self._reset_deadline(now)
+            self._reset_election_deadline(now)
         self._reply_vote(request, is_granted=is_granted)
 
     def _reply_vote(self, request: VoteRequest, *, is_granted: bool) -> None:
@@ -360,8 +363,8 @@
         self._send(request.sender, reply)
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
-        theirs = (request.last_term, request.last_index)
-        return theirs >= (self.log.last_term, self.log.last_index)
+        candidate_log = (request.last_term, request.last_index)
+        return candidate_log >= (self.log.last_term, self.log.last_index)
 
     def _handle_vote_reply(self, reply: VoteReply, now: float) -> None:
         if reply.term > self.term and not reply.is_granted:
@@ -378,12 +381,12 @@
     def _become_leader(self, now: float) -> None:
         assert self._members is not None
         self.role = ReplicaRole.LEADER
-        self._has_met_leader = True
+        self._has_known_leader = True
         self.leader = self.me
         self._progress = {}
         self._sync_progress(now)
-        # An entry of its own term lets the leader commit what earlier terms left.
-        self._append_own(LogEntry(self._next_index(), self.term, 0.0))
+        # An entry of its own term lets the leader commit entries of earlier terms.
+        self._append_to_log(LogEntry(self._next_index(), self.term, 0.0))
         self._broadcast(now)
 
     def _become_follower(self, term: Term, leader: Member | None, now: float) -> None:
@@ -391,24 +394,24 @@
         self.leader = leader
         if term > self.term:
             self._set_term(term, voted_for=None)
-        self._reset_deadline(now)
+        self._reset_election_deadline(now)
 
     def _set_term(self, term: Term, voted_for: Member | None) -> None:
         self.term = term
         self._voted_for = voted_for
         self._hard_state_changed = True
 
-    def _reset_deadline(self, now: float) -> None:
+    def _reset_election_deadline(self, now: float) -> None:
         if self._members is not None and self._members.voters == {self.me}:
-            # Nobody else can lead: there is nobody to wait for.
-            self._deadline = now
+            # The only voter has no other leader to wait for.
+            self._election_deadline = now
             return
-        timeout = ELECTION_TIMEOUT if self._has_met_leader else START_TIMEOUT
-        self._deadline = now + timeout * self._chooser.uniform(1.0, 2.0)
+        timeout = ELECTION_TIMEOUT if self._has_known_leader else START_TIMEOUT
+        self._election_deadline = now + timeout * self._random.uniform(1.0, 2.0)
 
     # Leading
 
-    def _lead(self, now: float) -> None:
+    def _advance_leader(self, now: float) -> None:
         assert self._members is not None
         heard = {
             member
@@ -427,8 +430,8 @@
     def _broadcast(self, now: float) -> None:
         for member, progress in self._progress.items():
             is_due = now - progress.sent >= HEARTBEAT
-            has_news = progress.next_index <= self.log.last_index
-            if is_due or (has_news and not progress.in_flight):
+            has_entries = progress.next_index <= self.log.last_index
+            if is_due or (has_entries and not progress.in_flight):
                 self._replicate(member, progress, now)
 
     def _replicate(self, member: Member, progress: Progress, now: float) -> None:
@@ -511,15 +514,16 @@
     def _advance_commit(self) -> None:
         assert self._members is not None
         indexes = {m: progress.match_index for m, progress in self._progress.items()}
-        indexes[self.me] = self._stable
+        indexes[self.me] = self._durable_index
         held = find_held_by_quorum(indexes, self._members)
-        # Entries of earlier terms are committed only with one of this term. Terms in
-        # the log never fall: the newest that a quorum holds tells for all before it.
+        # Entries of earlier terms are committed only together with one of this term.
+        # Terms in a log never decrease, so checking the newest replicated entry is
+        # enough.
         if held is not None and held > self.commit_index:
             if self.log.get_term(held) == self.term:
                 self.commit_index = held
 
-    def _append_own(self, entry: LogEntry) -> LogIndex:
+    def _append_to_log(self, entry: LogEntry) -> LogIndex:
         self.log.append(entry)
         return entry.index
 
@@ -546,21 +550,21 @@
         if message.term < self.term:
             self._reply_append(message, is_accepted=False, index=self.log.last_index)
             return
-        self._follow(message.sender, message.term, now)
+        self._follow_leader(message.sender, message.term, now)
         previous_term = self.log.get_term(message.previous_index)
         is_covered = message.previous_index < self.log.base_index
         if not is_covered and previous_term != message.previous_term:
             hint = min(self.log.last_index, LogIndex(message.previous_index - 1))
             self._reply_append(message, is_accepted=False, index=LogIndex(max(0, hint)))
             return
-        last = self._store(message.entries, now)
+        last = self._store_entries(message.entries, now)
         matched = LogIndex(message.previous_index + len(message.entries))
         if last is not None:
             matched = last
         self.commit_index = max(self.commit_index, min(message.commit, matched))
         self._reply_append(message, is_accepted=True, index=matched)
 
-    def _store(self, entries: list[LogEntry], now: float) -> LogIndex | None:
+    def _store_entries(self, entries: list[LogEntry], now: float) -> LogIndex | None:
         has_members = False
         for entry in entries:
             if entry.index <= self.log.base_index:
@@ -579,15 +583,15 @@
 
     def _truncate(self, start: LogIndex) -> None:
         self.log.truncate(start)
-        if start <= self._stable:
-            self._stable = LogIndex(start - 1)
+        if start <= self._durable_index:
+            self._durable_index = LogIndex(start - 1)
             earlier = self._truncate_from
             self._truncate_from = start if earlier is None else min(earlier, start)
 
-    def _follow(self, leader: Member, term: Term, now: float) -> None:
-        self._has_met_leader = True
+    def _follow_leader(self, leader: Member, term: Term, now: float) -> None:
+        self._has_known_leader = True
         self._become_follower(term, leader, now)
-        self._heard_leader = now
+        self._leader_heard_at = now
 
     def _reply_append(
         self, message: Append, *, is_accepted: bool, index: LogIndex
@@ -595,36 +599,41 @@
         reply = AppendReply(self.me, self.term, is_accepted, index, message.round)
         self._send(message.sender, reply)
 
-    def _handle_install(self, message: InstallSnapshot, now: float) -> None:
+    def _handle_install_snapshot(self, message: InstallSnapshot, now: float) -> None:
         if message.term < self.term:
             self._reply_snapshot(message, 0)
             return
-        self._follow(message.sender, message.term, now)
+        self._follow_leader(message.sender, message.term, now)
         if message.index <= self.commit_index:
             self._reply_snapshot(message, message.size)
             return
         if message.offset == 0 or message.index != self._incoming_index:
-            self._incoming = bytearray()
+            self._incoming_state = bytearray()
             self._incoming_index = message.index
-        if len(self._incoming) != message.offset:
-            self._reply_snapshot(message, len(self._incoming))
+        if len(self._incoming_state) != message.offset:
+            self._reply_snapshot(message, len(self._incoming_state))
             return
-        self._incoming += message.data
-        if len(self._incoming) >= message.size:
-            self._install(message, now)
+        self._incoming_state += message.data
+        if len(self._incoming_state) >= message.size:
+            self._install_snapshot(message, now)
         self._reply_snapshot(message, message.offset + len(message.data))
 
-    def _install(self, message: InstallSnapshot, now: float) -> None:
+    def _install_snapshot(self, message: InstallSnapshot, now: float) -> None:
         snapshot = Snapshot(
-            message.index, message.snapshot_term, message.members, bytes(self._incoming)
+            message.index,
+            message.snapshot_term,
+            message.members,
+            bytes(self._incoming_state),
         )
-        self._incoming = bytearray()
+        self._incoming_state = bytearray()
         self._snapshot = snapshot
-        self._received = snapshot
+        self._received_snapshot = snapshot
         self.log.compact(snapshot)
         self.commit_index = snapshot.index
-        self._applied = snapshot.index
-        self._stable = max(snapshot.index, min(self._stable, self.log.last_index))
+        self._applied_index = snapshot.index
+        self._durable_index = max(
+            snapshot.index, min(self._durable_index, self.log.last_index)
+        )
         self._set_members(self.log.find_members(), now)
 
     def _reply_snapshot(self, message: InstallSnapshot, offset: int) -> None:
