--- a/src/scalebend/core/control_client.py
+++ b/src/scalebend/core/control_client.py
@@ -1,6 +1,6 @@
-"""Proposals of one instance to the control group, sent until they are answered.
+"""Client of the control group: sends proposals and retries them until a reply.
 
-A command may be committed more than once, or after the proposer gave up; every
+A command may be committed more than once, or after its proposal timed out; every
 command is therefore idempotent (see ``control_state`` and ``claims``).
 """
 
@@ -13,11 +13,11 @@
 from scalebend.models.ids import InstanceId
 
 RESEND = 0.3
-"""Seconds without an answer before a proposal is sent again, to another."""
+"""Time without a reply before a proposal is sent again, to another instance."""
 
 
 class Proposed(msgspec.Struct, frozen=True):
-    """A proposal ended; ``result`` is ``None`` when no quorum answered in time."""
+    """Outcome of a proposal; ``result`` is ``None`` if it timed out."""
 
     proposal: str
     result: Result | None
@@ -30,7 +30,7 @@
     message: Propose
 
 
-class _Pending(msgspec.Struct):
+class _PendingProposal(msgspec.Struct):
     message: Propose
     deadline: float
     send_at: float
@@ -38,67 +38,70 @@
 
 
 class ControlClient:
-    """Proposals that wait for an answer."""
+    """Proposals of one instance that have no reply yet."""
 
     def __init__(self, instance: InstanceId, control: list[InstanceId]) -> None:
         self._instance = instance
         self._control = control
-        self._turn = 0
+        self._target_count = 0
         self._leader: InstanceId | None = None
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingProposal] = {}
         self._count = 0
 
     def submit(
         self, command: Command, timeout: float, now: float, *, salt: str = ""
     ) -> tuple[str, list[Submission]]:
-        """Propose a command; return the proposal's name and what to send now."""
+        """Propose a command; return the proposal's name and the messages to send.
+
+        ``timeout`` is in seconds; ``salt`` keeps names unique across restarts.
+        """
         self._count += 1
         proposal = f"{self._instance}/{salt}/{self._count}"
         message = Propose(proposal, encode_command(command))
-        self._pending[proposal] = _Pending(message, now + timeout, now)
+        self._pending[proposal] = _PendingProposal(message, now + timeout, now)
         return proposal, self._send_due(now)
 
     def handle(
-        self, answer: ProposalAnswer, now: float
+        self, reply: ProposalAnswer, now: float
     ) -> tuple[list[Proposed], list[Submission]]:
-        """Take an answer; one without a result names the leader to ask instead."""
-        pending = self._pending.get(answer.proposal)
+        """Process a reply; one without a result names the leader to send to instead."""
+        pending = self._pending.get(reply.proposal)
         if pending is None:
             return [], []
-        if answer.result is not None:
-            del self._pending[answer.proposal]
-            return [Proposed(answer.proposal, answer.result)], []
-        if answer.leader is not None and answer.leader != self._leader:
-            self._leader = answer.leader
+        if reply.result is not None:
+            del self._pending[reply.proposal]
+            return [Proposed(reply.proposal, reply.result)], []
+        if reply.leader is not None and reply.leader != self._leader:
+            self._leader = reply.leader
             pending.send_at = now
             pending.was_sent = False
         return [], self._send_due(now)
 
     def advance(self, now: float) -> tuple[list[Proposed], list[Submission]]:
-        """End proposals that are too late; send the unanswered again."""
+        """End proposals past their deadline; send the others again when due."""
         ended = [name for name, p in self._pending.items() if now >= p.deadline]
         for name in ended:
             del self._pending[name]
         return [Proposed(name, None) for name in ended], self._send_due(now)
 
     def _send_due(self, now: float) -> list[Submission]:
-        due = [p for p in self._pending.values() if p.send_at <= now]
-        if any(pending.was_sent for pending in due):
-            # The leader did not answer in time: ask around.
+        due_proposals = [p for p in self._pending.values() if p.send_at <= now]
+        if any(pending.was_sent for pending in due_proposals):
+            # No reply in time: tries the control instances in turn.
             self._leader = None
-        sent = []
-        for pending in due:
+        submissions = []
+        for pending in due_proposals:
             pending.send_at = now + RESEND
             pending.was_sent = True
             target = self._choose_target()
             if target is not None:
-                sent.append(Submission(target, pending.message))
-        return sent
+                submissions.append(Submission(target, pending.message))
+        return submissions
 
     def _choose_target(self) -> InstanceId | None:
         if self._leader is not None:
             return self._leader
         if not self._control:
             return None
-        self._turn += 1
-        return self._control[self._turn % len(self._control)]
+        self._target_count += 1
+        return self._control[self._target_count % len(self._control)]
--- a/src/scalebend/core/control_member.py
+++ b/src/scalebend/core/control_member.py
@@ -1,8 +1,8 @@
-"""One control instance: its vote, the replicated state, and who may ask for what.
+"""One control instance: group formation, membership, proposals, replicated state.
 
-Formation: a group is founded only when every configured control instance answers
-that its disk is empty. An instance whose disk is new while a group exists joins as
-a learner, and votes once it has the whole log and its old vote is removed.
+A group is formed only once every configured control instance reports an empty disk.
+An instance with a new disk joins an existing group as a learner; it becomes a voter
+once it has nearly the whole log and the vote of its old disk is removed.
 """
 
 from __future__ import annotations
@@ -46,27 +46,27 @@
 logger = structlog.get_logger(__name__)
 
 HELLO_PERIOD = 0.5
-"""Seconds between two attempts to form or join a group."""
+"""Time between two attempts to form or join a group."""
 
 SNAPSHOT_ENTRIES = 2_000
-"""Applied entries after which a snapshot replaces them."""
+"""Applied entries after which a snapshot is taken."""
 
 SNAPSHOT_BYTES = 4 * 1024 * 1024
-"""Bytes of applied commands after which a snapshot replaces them: a replay stays
-under a second and a small disk holds several such journals."""
+"""Applied commands after which a snapshot is taken; bounds the replay time at start
+and the size of the journal."""
 
 LEADER_SILENCE = 2.0
-"""Seconds without a leader after which a member asks around again: it may have been
-replaced while it was away."""
+"""Time without a leader after which a member contacts its peers again: it may have
+been replaced while it was down."""
 
 DEAD_VOTER = 4.0
-"""Seconds of silence after which a voter gives its place to a waiting learner."""
+"""Time without a reply after which a learner may replace a voter."""
 
 DEAD_LEARNER = 15.0
-"""Seconds of silence after which a learner is dropped."""
+"""Time without a reply after which a learner is removed."""
 
 LIST_PERIOD = 0.2
-"""Seconds between two comparisons of the live instances with the committed list."""
+"""Time between two comparisons of the live instances with the committed list."""
 
 
 class ToInstance(msgspec.Struct, frozen=True):
@@ -76,8 +76,8 @@
     message: PeerMessage
 
 
-class _Waiting(msgspec.Struct, frozen=True):
-    """A proposer that waits for the entry at an index of a term."""
+class _PendingProposal(msgspec.Struct, frozen=True):
+    """Proposal whose entry is not committed yet, with the term it was appended in."""
 
     term: Term
     instance: InstanceId
@@ -99,11 +99,13 @@
         may_be_named: bool = False,
         voters_wanted: int | None = None,
     ) -> None:
-        """``voters_wanted``: size of the group when members come and go by themselves.
+        """Recover the member from ``recovered``.
 
-        Without it, the configured peers are the group and a voter keeps its place.
-        ``may_be_named``: whether a relay may name this one as founder, where none of
-        the configured peers has a disk.
+        ``voters_wanted``: number of voters in a group that replaces unresponsive
+        voters by itself; without it, the configured peers stay the voters.
+        ``may_found``: whether this instance may form a group.
+        ``may_be_named``: whether a relay may name this instance as the sole founder
+        where no configured peer has a disk.
         """
         self.me = Member(instance, recovered.disk)
         self.state = ControlState()
@@ -113,27 +115,27 @@
         self._peers = list(peers)
         self._founders = set(peers)
         self._may_found = may_found
-        self._may_be_named = may_be_named
+        self._may_be_sole_founder = may_be_named
         self._relays: set[InstanceId] = set()
         self._voters_wanted = voters_wanted
-        self._led_at = now
+        self._leader_seen_at = now
         self._applied_bytes = 0
         self._hellos: dict[InstanceId, HelloReply] = {}
-        self._hello_at = now
-        self._list_at = now
-        self._waiting: dict[LogIndex, _Waiting] = {}
-        self._lists = ListHistory()
-        self._lists.put(self.state.instances)
+        self._next_hello_at = now
+        self._next_list_check_at = now
+        self._pending: dict[LogIndex, _PendingProposal] = {}
+        self._list_history = ListHistory()
+        self._list_history.put(self.state.instances)
         self._outbox: list[ToInstance] = []
 
     @property
     def leader(self) -> InstanceId | None:
-        """The instance that leads, as far as known."""
+        """Leader as far as known."""
         leader = self.replica.leader
         return leader.instance if leader is not None else None
 
     def list_voters(self) -> list[InstanceId]:
-        """Instances that vote now, as far as this one knows."""
+        """Voters as far as known, sorted."""
         members = self.replica.members
         voters = members.voters if members is not None else frozenset()
         return sorted(member.instance for member in voters)
@@ -143,20 +145,20 @@
     def handle(
         self, sender: InstanceId, message: PeerMessage, now: float, at: float
     ) -> None:
-        """Take one message; ``at`` is the wall clock that new entries carry."""
+        """Process a message; ``at`` is the wall clock in seconds for new entries."""
         match message:
             case Hello():
-                self._answer_hello(sender, message)
+                self._reply_to_hello(sender, message)
             case HelloReply():
                 self._hellos[sender] = message
                 self.note_instances(message.instances)
                 self._try_to_found()
             case RelayReply(instances, founder):
-                self._take_relay_reply(sender, instances, founder)
+                self._handle_relay_reply(sender, instances, founder)
             case Found(members):
                 self.replica.form_group(members)
             case Join(member):
-                self._take_in(member, now)
+                self._add_learner(member, now)
             case Propose():
                 self._propose(sender, message, now, at)
             case Fetch():
@@ -165,28 +167,28 @@
                 self.replica.handle(message, now)
 
     def advance(self, now: float) -> None:
-        """Act on time."""
+        """Run what is due: elections, joining a group, promoting learners."""
         self.replica.advance(now)
         if self.replica.leader is not None:
-            self._led_at = now
-        is_lost = now - self._led_at > LEADER_SILENCE
-        if now >= self._hello_at and (is_lost or not self.replica.is_voter):
-            self._hello_at = now + HELLO_PERIOD
+            self._leader_seen_at = now
+        is_leaderless = now - self._leader_seen_at > LEADER_SILENCE
+        if now >= self._next_hello_at and (is_leaderless or not self.replica.is_voter):
+            self._next_hello_at = now + HELLO_PERIOD
             self._seek_group()
         if self.replica.is_leader:
             self._promote_learners(now)
 
     def is_list_due(self, now: float) -> bool:
-        """Whether this member leads and should compare the live instances now."""
-        return self.replica.is_leader and now >= self._list_at
+        """Whether this member leads and the instance list is due for a comparison."""
+        return self.replica.is_leader and now >= self._next_list_check_at
 
     def set_live_instances(
         self, live: list[ListedInstance], now: float, at: float
     ) -> None:
-        """As leader, propose the instance list when it is not the live one."""
+        """As leader, propose the live instances if the committed list differs."""
         if not self.is_list_due(now):
             return
-        self._list_at = now + LIST_PERIOD
+        self._next_list_check_at = now + LIST_PERIOD
         current = self.state.instances
         if sorted(live) == sorted(current.instances):
             return
@@ -194,38 +196,38 @@
         self.replica.propose(encode_command(command), at, now)
 
     def stop_leading(self, now: float) -> None:
-        """Hand leadership over before a planned stop."""
+        """Transfer leadership to another voter before a planned stop."""
         self.replica.transfer_leadership(now)
 
-    # Carrying out
+    # Output
 
     def take_ready(self, now: float) -> Ready:
-        """What must be written and synced before :meth:`finish`."""
+        """Return the work that must be durable before :meth:`finish`."""
         self.replica.advance(now)
         return self.replica.take_ready()
 
     @property
     def has_outgoing(self) -> bool:
-        """Whether messages wait that need nothing to be written first."""
+        """Whether messages are queued that do not depend on a write."""
         return bool(self._outbox)
 
     def finish(self, ready: Ready, now: float) -> list[ToInstance]:
-        """The writes of ``ready`` are durable; return what to send."""
+        """Apply ``ready``, whose writes are durable; return the messages to send."""
         if ready.snapshot is not None:
             self.state.restore(ready.snapshot.state)
         for entry in ready.committed:
             self._apply(entry)
-        self._lists.put(self.state.instances)
+        self._list_history.put(self.state.instances)
         self.replica.confirm(ready)
         if not self.replica.is_leader:
-            self._disappoint_waiting()
-        sent = [ToInstance(o.to.instance, o.message) for o in ready.messages]
-        sent += self._outbox
+            self._fail_pending()
+        outgoing = [ToInstance(o.to.instance, o.message) for o in ready.messages]
+        outgoing += self._outbox
         self._outbox = []
-        return sent
+        return outgoing
 
     def build_due_snapshot(self) -> Snapshot | None:
-        """Return a snapshot when enough entries were applied since the last."""
+        """Return a snapshot if enough was applied since the last one, else ``None``."""
         has_many = self.replica.applied_entries >= SNAPSHOT_ENTRIES
         if not has_many and self._applied_bytes < SNAPSHOT_BYTES:
             return None
@@ -233,7 +235,7 @@
         return self.replica.build_snapshot(self.state.export())
 
     def read_tail(self, snapshot: Snapshot) -> tuple[HardState, list[LogEntry]]:
-        """What must stand in the journal after ``snapshot``."""
+        """Return the term, vote and entries that follow ``snapshot`` in the journal."""
         log = self.replica.log
         entries = log.read(LogIndex(snapshot.index + 1), len(log))
         return self.replica.read_hard_state(), entries
@@ -244,31 +246,31 @@
     def _has_group(self) -> bool:
         return self.replica.members is not None
 
-    def _answer_hello(self, sender: InstanceId, message: Hello) -> None:
-        instances = self._list_instances()
+    def _reply_to_hello(self, sender: InstanceId, message: Hello) -> None:
+        instances = self._list_control_instances()
         reply = HelloReply(self.me, self._has_group, self._may_found, instances)
         self._send(sender, reply)
         members = self.replica.members
         if members is None or message.has_group or message.member not in members.voters:
             return
-        # It is a founder that did not hear of the founding: its disk, and so its
-        # log, is the one that was counted, and the first entry is the same for all.
+        # The sender is a founder that missed the formation. Its disk is the one in
+        # the first member list, so its log may start with the same first entry.
         if self.replica.log.find_last_members_index() == 1:
             self._send(sender, Found(members))
 
-    def _list_instances(self) -> list[InstanceId]:
+    def _list_control_instances(self) -> list[InstanceId]:
         members = self.replica.members
         everyone = members.everyone if members is not None else frozenset()
         return sorted({member.instance for member in everyone})
 
     def note_instances(self, instances: list[InstanceId]) -> None:
-        """These are, or were, control instances: ask them for the group, too."""
+        """Add known, possibly former, control instances to the peers to contact."""
         for instance in instances:
             if instance != self.me.instance and instance not in self._peers:
                 self._peers.append(instance)
 
     def _seek_group(self) -> None:
-        self.note_instances(self._list_instances())
+        self.note_instances(self._list_control_instances())
         for peer in self._peers:
             self._send(peer, Hello(self.me, self._has_group))
         if not self._peers:
@@ -299,20 +301,20 @@
         for member in sorted(voters - {self.me}):
             self._send(member.instance, Found(members))
 
-    def _take_relay_reply(
+    def _handle_relay_reply(
         self, relay: InstanceId, instances: list[InstanceId], founder: InstanceId | None
     ) -> None:
         self._relays.add(relay)
         self.note_instances(instances)
-        is_named = founder == self.me.instance and self._may_be_named
-        is_first = not any(reply.has_group for reply in self._hellos.values())
-        if is_named and is_first and not self._has_group:
-            # The others join: a second founder is never named.
+        is_named = founder == self.me.instance and self._may_be_sole_founder
+        is_unformed = not any(reply.has_group for reply in self._hellos.values())
+        if is_named and is_unformed and not self._has_group:
+            # A relay names only one founder; the other instances join its group.
             self._found({self.me})
             return
         self._try_to_found()
 
-    def _take_in(self, member: Member, now: float) -> None:
+    def _add_learner(self, member: Member, now: float) -> None:
         members = self.replica.members
         if members is None or not self.replica.is_leader:
             return
@@ -330,20 +332,22 @@
         for learner in sorted(members.learners):
             if not self.replica.is_caught_up(learner):
                 continue
-            old = {m for m in members.voters if m.instance == learner.instance}
+            replaced = {m for m in members.voters if m.instance == learner.instance}
             is_full = self._voters_wanted is not None and (
                 len(members.voters) >= self._voters_wanted
             )
-            if not old and is_full:
-                silent = self.replica.list_silent(DEAD_VOTER, now)
-                dead = [member for member in silent if member in members.voters]
-                if not dead:
+            if not replaced and is_full:
+                unresponsive = self.replica.list_silent(DEAD_VOTER, now)
+                expired = [
+                    member for member in unresponsive if member in members.voters
+                ]
+                if not expired:
                     continue
-                changed = Members(members.voters - {dead[0]}, members.learners)
-            elif old:
-                # The old disk is gone with its vote: remove it before the new one
-                # votes, one change at a time.
-                changed = Members(members.voters - old, members.learners)
+                changed = Members(members.voters - {expired[0]}, members.learners)
+            elif replaced:
+                # Removes the vote of the replaced disk before the new disk gets one:
+                # membership changes one voter at a time.
+                changed = Members(members.voters - replaced, members.learners)
             else:
                 changed = Members(
                     members.voters | {learner}, members.learners - {learner}
@@ -351,16 +355,16 @@
             self.replica.propose_members(changed, 0.0, now)
             logger.info("control voter changed", instance=learner.instance)
             return
-        self._drop_dead_learners(members, now)
+        self._remove_expired_learners(members, now)
 
-    def _drop_dead_learners(self, members: Members, now: float) -> None:
-        silent = self.replica.list_silent(DEAD_LEARNER, now)
-        dead = members.learners & frozenset(silent)
-        if not dead:
+    def _remove_expired_learners(self, members: Members, now: float) -> None:
+        unresponsive = self.replica.list_silent(DEAD_LEARNER, now)
+        expired = members.learners & frozenset(unresponsive)
+        if not expired:
             return
-        changed = Members(members.voters, members.learners - dead)
+        changed = Members(members.voters, members.learners - expired)
         if self.replica.propose_members(changed, 0.0, now) is not None:
-            logger.info("control learners dropped", count=len(dead))
+            logger.info("control learners dropped", count=len(expired))
 
     # Proposals
 
@@ -369,37 +373,41 @@
     ) -> None:
         index = self.replica.propose(message.command, at, now)
         if index is None:
-            answer = ProposalAnswer(message.proposal, None, self.leader)
-            self._send(sender, answer)
+            reply = ProposalAnswer(message.proposal, None, self.leader)
+            self._send(sender, reply)
             return
-        self._waiting[index] = _Waiting(self.replica.term, sender, message.proposal)
+        self._pending[index] = _PendingProposal(
+            self.replica.term, sender, message.proposal
+        )
 
     def _apply(self, entry: LogEntry) -> None:
         result: Result | None = None
         self._applied_bytes += len(entry.command)
         if entry.command:
             result = self.state.apply(entry.command, entry.at)
-        waiting = self._waiting.pop(entry.index, None)
-        if waiting is None:
+        pending = self._pending.pop(entry.index, None)
+        if pending is None:
             return
-        if waiting.term != entry.term:
+        if pending.term != entry.term:
             result = None
-        self._answer(waiting, result)
+        self._reply_to_proposer(pending, result)
 
-    def _disappoint_waiting(self) -> None:
-        # Their entries may still be committed; the proposers ask the next leader.
-        for waiting in self._waiting.values():
-            self._answer(waiting, None)
-        self._waiting.clear()
+    def _fail_pending(self) -> None:
+        # Their entries may still be committed; the proposers retry at the next leader.
+        for pending in self._pending.values():
+            self._reply_to_proposer(pending, None)
+        self._pending.clear()
 
-    def _answer(self, waiting: _Waiting, result: Result | None) -> None:
-        answer = ProposalAnswer(waiting.proposal, result, self.leader)
-        self._send(waiting.instance, answer)
+    def _reply_to_proposer(
+        self, pending: _PendingProposal, result: Result | None
+    ) -> None:
+        reply = ProposalAnswer(pending.proposal, result, self.leader)
+        self._send(pending.instance, reply)
 
     def _publish(self, sender: InstanceId, message: Fetch) -> None:
         state = self.state
         published = build_published(
-            message, state.configuration, state.instances, self._lists
+            message, state.configuration, state.instances, self._list_history
         )
         if published is not None:
             self._send(sender, published)
--- a/src/scalebend/core/control_state.py
+++ b/src/scalebend/core/control_state.py
@@ -1,7 +1,7 @@
-"""The replicated state machine: configuration, claims, instances, desired orders.
+"""The replicated state machine: configuration, claims, instances, routing.
 
-Every control instance applies the same committed commands in the same order. No
-command looks at a clock: the time is the one in the log entry.
+Every control instance applies the same committed commands in the same order. Commands
+read no local clock: the time comes from the log entry.
 """
 
 from __future__ import annotations
@@ -35,18 +35,17 @@
 from scalebend.models.routing import StoredRouting
 
 REMEMBERED_CHANGES = 1_000
-"""Accepted changes whose id is remembered, to answer a resend."""
-
+"""Accepted changes whose ids are kept to recognize a resent change."""
 
 LONGEST_CLOCK_STEP = 60.0
-"""Seconds by which one entry may move the state's clock.
+"""Longest step by which one entry may advance the state's clock.
 
-A leader whose wall clock jumped ahead must not expire every claim at once.
+Keeps a leader whose wall clock jumped ahead from expiring every claim at once.
 """
 
 
 class ListedInstance(msgspec.Struct, frozen=True, order=True):
-    """One instance of the committed list, with its addresses."""
+    """One instance in the committed list, with its addresses."""
 
     instance: InstanceId
     incarnation: int
@@ -57,7 +56,7 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """Live instances; replica ownership is derived from it."""
+    """Committed list of live instances; replica ownership is derived from it."""
 
     epoch: Epoch
     instances: list[ListedInstance]
@@ -73,47 +72,47 @@
 
 
 class SetInstances(msgspec.Struct, frozen=True, tag=True):
-    """Command: replace the instance list, if ``base`` is still its epoch."""
+    """Command: replace the instance list if its epoch is still ``base``."""
 
     base: Epoch
     instances: list[ListedInstance]
 
 
 class PutRouting(msgspec.Struct, frozen=True, tag=True):
-    """Command: take this routing document, unless a higher version is held."""
+    """Command: store a routing document unless its version is not above the stored."""
 
     routing: StoredRouting
 
 
 class Barrier(msgspec.Struct, frozen=True, tag=True):
-    """Command: nothing; its commit proves that a quorum was reached."""
+    """Command without effect; its commit proves that a quorum was reached."""
 
 
 Command = Apply | SetInstances | PutRouting | Barrier | Claim | Settle | Withdraw
 
 
 class Accepted(msgspec.Struct, frozen=True, tag=True):
-    """Result: the change with this id is the configuration of ``version``."""
+    """Result: the change became configuration ``version``."""
 
     version: ConfigurationVersion
 
 
 class Conflict(msgspec.Struct, frozen=True, tag=True):
-    """Result: another change took the base version first; it is given whole."""
+    """Result: the base is outdated; ``winner`` is the current configuration."""
 
     winner: AcceptedConfiguration
     requested_base: ConfigurationVersion
 
 
 class Done(msgspec.Struct, frozen=True, tag=True):
-    """Result: nothing to report; carries the state's numbers for a fresh read."""
+    """Result of other commands: the current version and epoch."""
 
     version: ConfigurationVersion
     epoch: Epoch
 
 
 class RoutingHeld(msgspec.Struct, frozen=True, tag=True):
-    """Result: the version of the routing document that holds now."""
+    """Result: version of the routing document that is stored now."""
 
     version: RoutingVersion
 
@@ -123,7 +122,9 @@
 )
 
 
-class _Exported(msgspec.Struct):
+class _StoredState(msgspec.Struct):
+    """Encoded form of the whole state in a snapshot."""
+
     configuration: AcceptedConfiguration
     changes: dict[ChangeId, ConfigurationVersion]
     instances: InstanceList
@@ -133,7 +134,7 @@
 
 
 class ControlState:
-    """State that the control group agreed on."""
+    """State that the control group has agreed on."""
 
     def __init__(self) -> None:
         self.configuration = EMPTY_CONFIGURATION
@@ -144,7 +145,7 @@
         self._clock = 0.0
 
     def apply(self, data: bytes, at: float) -> Result:
-        """Apply one committed command."""
+        """Apply a committed command; ``at`` is its entry's wall clock in seconds."""
         self._advance_clock(at)
         command = decode_command(data)
         match command:
@@ -161,8 +162,8 @@
         return Done(self.configuration.version, self.instances.epoch)
 
     def export(self) -> bytes:
-        """Return the whole state for a snapshot."""
-        exported = _Exported(
+        """Encode the whole state for a snapshot."""
+        stored = _StoredState(
             self.configuration,
             self._changes,
             self.instances,
@@ -170,17 +171,17 @@
             self._clock,
             self.routing,
         )
-        return msgspec.msgpack.encode(exported)
+        return msgspec.msgpack.encode(stored)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's."""
-        exported = msgspec.msgpack.decode(data, type=_Exported)
-        self.configuration = exported.configuration
-        self.instances = exported.instances
-        self.claims.restore(exported.claims)
-        self._changes = exported.changes
-        self._clock = exported.clock
-        self.routing = exported.routing
+        """Replace the whole state by that of a snapshot."""
+        stored = msgspec.msgpack.decode(data, type=_StoredState)
+        self.configuration = stored.configuration
+        self.instances = stored.instances
+        self.claims.restore(stored.claims)
+        self._changes = stored.changes
+        self._clock = stored.clock
+        self.routing = stored.routing
 
     def _apply_change(self, change: ConfigurationChange) -> Result:
         known = self._changes.get(change.change)
@@ -198,7 +199,7 @@
         return Accepted(version)
 
     def _put_routing(self, routing: StoredRouting) -> Result:
-        # The highest version holds; one that is not above it changes nothing.
+        # Ignores a document that is not newer, so that a resend changes nothing.
         if self.routing is None or routing.version > self.routing.version:
             self.routing = routing
         return RoutingHeld(self.routing.version)
@@ -216,7 +217,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the form in which a command stands in the log."""
+    """Encode a command for the log."""
     return msgspec.msgpack.encode(command)
 
 
@@ -224,5 +225,5 @@
 
 
 def decode_command(data: bytes) -> Command:
-    """Read a command from the log."""
+    """Decode a command from the log."""
     return _DECODER.decode(data)
--- a/src/scalebend/core/list_history.py
+++ b/src/scalebend/core/list_history.py
@@ -1,8 +1,4 @@
-"""Recent instance lists, so that a change travels instead of the whole list.
-
-At 390 instances a list is about 50 KB, and more than a hundred change it on an
-ordinary day; a change is about 130 bytes an instance that came or went.
-"""
+"""Recent instance lists, kept to send only the difference to the newest one."""
 
 from __future__ import annotations
 
@@ -14,11 +10,11 @@
 from scalebend.models.ids import Epoch, InstanceId
 
 MOST_REMEMBERED = 64
-"""Lists remembered; who asks with an older one gets the whole newest list."""
+"""Lists kept; an instance with an older one receives the whole newest list."""
 
 
 class ListChange(msgspec.Struct, frozen=True, tag=True):
-    """What turns the list of ``base`` into the list of ``epoch``."""
+    """Difference between the lists of epochs ``base`` and ``epoch``."""
 
     base: Epoch
     epoch: Epoch
@@ -27,7 +23,7 @@
 
 
 class WholeList(msgspec.Struct, frozen=True, tag=True):
-    """The whole list, for who has none or a forgotten one."""
+    """The whole list, for an instance whose own list is not in the history."""
 
     instances: InstanceList
 
@@ -36,44 +32,44 @@
 
 
 class ListHistory:
-    """The newest instance list and the ones before it."""
+    """The newest instance list and its most recent predecessors."""
 
     def __init__(self) -> None:
         self._lists: OrderedDict[Epoch, InstanceList] = OrderedDict()
 
-    def put(self, listed: InstanceList) -> None:
-        """Remember a newer list."""
-        if listed.epoch in self._lists:
+    def put(self, newest: InstanceList) -> None:
+        """Add a list unless its epoch is known."""
+        if newest.epoch in self._lists:
             return
-        self._lists[listed.epoch] = listed
+        self._lists[newest.epoch] = newest
         while len(self._lists) > MOST_REMEMBERED:
             self._lists.popitem(last=False)
 
     def build_news(self, epoch: Epoch, newest: InstanceList) -> ListNews | None:
-        """Return what an instance with the list of ``epoch`` lacks."""
+        """Return the update for an instance with the list of ``epoch``, if any."""
         if newest.epoch <= epoch:
             return None
-        known = self._lists.get(epoch)
-        if known is None:
+        base_list = self._lists.get(epoch)
+        if base_list is None:
             return WholeList(newest)
-        before = set(known.instances)
-        after = set(newest.instances)
-        names = {item.instance for item in newest.instances}
-        left = [i.instance for i in known.instances if i.instance not in names]
-        joined = sorted(after - before)
+        base_instances = set(base_list.instances)
+        newest_instances = set(newest.instances)
+        listed_now = {item.instance for item in newest.instances}
+        left = [i.instance for i in base_list.instances if i.instance not in listed_now]
+        joined = sorted(newest_instances - base_instances)
         return ListChange(epoch, newest.epoch, joined, sorted(left))
 
 
 def apply_news(news: ListNews, current: InstanceList) -> InstanceList | None:
-    """Return the newer list; ``None`` when the news does not build on ``current``."""
+    """Return the newer list; ``None`` if the update does not fit ``current``."""
     match news:
         case WholeList(instances):
             return instances if instances.epoch > current.epoch else None
         case ListChange(base, epoch, joined, left):
             if base != current.epoch:
                 return None
-            listed = {item.instance: item for item in current.instances}
+            updated = {item.instance: item for item in current.instances}
             for name in left:
-                listed.pop(name, None)
-            listed.update({item.instance: item for item in joined})
-            return InstanceList(epoch, sorted(listed.values()))
+                updated.pop(name, None)
+            updated.update({item.instance: item for item in joined})
+            return InstanceList(epoch, sorted(updated.values()))
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -53,7 +53,7 @@
 
     def start(self, name):
         super().start(name)
-        self.members[name]._may_be_named = self.is_first_start
+        self.members[name]._may_be_sole_founder = self.is_first_start
 
     def deliver(self, position, *, keep=False):
         sender, to, message = self.flights[position]
