--- a/src/scalebend/core/consensus/messages.py
+++ b/src/scalebend/core/consensus/messages.py
@@ -26,7 +26,7 @@
     learners: frozenset[Member] = frozenset()
 
     @property
-    def everyone(self) -> frozenset[Member]:
+    def all_members(self) -> frozenset[Member]:
         """Voters and learners."""
         return self.voters | self.learners
 
--- a/src/scalebend/core/consensus/progress.py
+++ b/src/scalebend/core/consensus/progress.py
@@ -11,16 +11,16 @@
 from scalebend.core.consensus.messages import Member, Members
 from scalebend.models.ids import LogIndex
 
-MOST_ROUNDS = 64
+MAX_PENDING_ROUNDS = 64
 """Unacknowledged appends whose send times are kept for each member."""
 
-CATCH_UP_GAP = 16
+MAX_PROMOTION_LAG_ENTRIES = 16
 """Entries by which a learner may lag and still become a voter."""
 
 T = TypeVar("T", bound=float)
 
 
-class _SentRound(msgspec.Struct, frozen=True):
+class _PendingRound(msgspec.Struct, frozen=True):
     """An append that a member has not acknowledged, and when it was sent."""
 
     round: int
@@ -35,36 +35,36 @@
 
     next_index: LogIndex
     match_index: LogIndex = LogIndex(0)
-    heard: float = 0.0
-    sent: float = 0.0
-    rounds: deque[_SentRound] = msgspec.field(default_factory=deque)
+    last_reply_at: float = 0.0
+    last_sent_at: float = 0.0
+    pending_rounds: deque[_PendingRound] = msgspec.field(default_factory=deque)
     confirmed_at: float = -1e9
     in_flight: bool = False
     snapshot_offset: int | None = None
     """Bytes of the snapshot that the member has; ``None`` when none is being sent."""
 
-    def note_sent(self, number: int, now: float) -> None:
+    def record_sent(self, number: int, now: float) -> None:
         """Record that the append with this round number was sent."""
-        self.rounds.append(_SentRound(number, now))
-        if len(self.rounds) > MOST_ROUNDS:
-            self.rounds.popleft()
+        self.pending_rounds.append(_PendingRound(number, now))
+        if len(self.pending_rounds) > MAX_PENDING_ROUNDS:
+            self.pending_rounds.popleft()
 
-    def note_heard(self, now: float) -> None:
+    def record_reply(self, now: float) -> None:
         """Record that the member replied to any message."""
-        self.heard = now
+        self.last_reply_at = now
         self.in_flight = False
 
-    def note_answered(self, number: int) -> None:
+    def record_acknowledgement(self, number: int) -> None:
         """Record that the member acknowledged this append and all before it."""
-        while self.rounds and self.rounds[0].round <= number:
-            self.confirmed_at = self.rounds.popleft().sent_at
+        while self.pending_rounds and self.pending_rounds[0].round <= number:
+            self.confirmed_at = self.pending_rounds.popleft().sent_at
 
-    def note_match(self, index: LogIndex) -> None:
+    def record_match(self, index: LogIndex) -> None:
         """Record that the member's log matches and is durable up to ``index``."""
         self.match_index = max(self.match_index, index)
         self.next_index = LogIndex(self.match_index + 1)
 
-    def step_back(self, index: LogIndex) -> None:
+    def record_mismatch(self, index: LogIndex) -> None:
         """Record a rejected append; the member's log may match up to ``index``."""
         retry_from = min(index + 1, self.next_index - 1)
         self.next_index = LogIndex(max(self.match_index + 1, retry_from))
@@ -73,10 +73,10 @@
         """Whether the member has nearly the whole log."""
         if self.snapshot_offset is not None:
             return False
-        return self.match_index + CATCH_UP_GAP >= last_index
+        return self.match_index + MAX_PROMOTION_LAG_ENTRIES >= last_index
 
 
-def find_held_by_quorum(values: Mapping[Member, T], members: Members) -> T | None:
+def find_quorum_value(values: Mapping[Member, T], members: Members) -> T | None:
     """Largest value that a quorum has reached; ``None`` if no quorum reported one."""
     for candidate in sorted(set(values.values()), reverse=True):
         if members.is_quorum({m for m, value in values.items() if value >= candidate}):
--- a/src/scalebend/core/consensus/replica.py
+++ b/src/scalebend/core/consensus/replica.py
@@ -31,39 +31,39 @@
     VoteReply,
     VoteRequest,
 )
-from scalebend.core.consensus.progress import Progress, find_held_by_quorum
+from scalebend.core.consensus.progress import Progress, find_quorum_value
 from scalebend.models.ids import InstanceId, LogIndex, Term
 
-HEARTBEAT = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 """Longest time between two messages from a leader to each member."""
 
-LEAST_BETWEEN_ROUNDS = 0.01
+MIN_ROUND_INTERVAL_S = 0.01
 """Shortest time between two messages to a member while a leadership confirmation is
 pending, so that one round serves several callers."""
 
-ELECTION_TIMEOUT = 0.45
+ELECTION_TIMEOUT_S = 0.45
 """Time without a leader before a member starts an election, randomized up to twice.
 
 Covers several heartbeats: packet loss delays some of them by a retransmission."""
 
-SUSPICION = 0.25
+LINK_LOSS_TIMEOUT_S = 0.25
 """Time after the link to the leader breaks before a member starts an election,
 randomized up to twice: a live leader reconnects and sends a heartbeat within it."""
 
-START_TIMEOUT = 0.12
+STARTUP_ELECTION_TIMEOUT_S = 0.12
 """Time between pre-votes of a member that has known no leader since its start,
 randomized up to twice.
 
 An existing leader sends a heartbeat within this time, and a pre-vote does not disturb
 it; without a leader, as after a restart of all members, waiting longer is useless."""
 
-QUORUM_TIMEOUT = 0.6
+QUORUM_TIMEOUT_S = 0.6
 """Time without replies from a quorum before a leader steps down."""
 
-MOST_ENTRIES = 256
+MAX_ENTRIES_PER_APPEND = 256
 """Entries in one append message."""
 
-SNAPSHOT_CHUNK = 256 * 1024
+SNAPSHOT_CHUNK_BYTES = 256 * 1024
 """State in one snapshot message."""
 
 
@@ -176,31 +176,34 @@
             return None
         times = {m: progress.confirmed_at for m, progress in self._progress.items()}
         times[self.me] = now
-        return find_held_by_quorum(times, self._members)
+        return find_quorum_value(times, self._members)
 
-    def hasten_confirmation(self, since: float, now: float) -> None:
+    def request_confirmation(self, since: float, now: float) -> None:
         """As leader, send at once to members with no message since ``since``."""
         if not self.is_leader:
             return
         for member, progress in self._progress.items():
-            if progress.sent < since and now - progress.sent >= LEAST_BETWEEN_ROUNDS:
+            if (
+                progress.last_sent_at < since
+                and now - progress.last_sent_at >= MIN_ROUND_INTERVAL_S
+            ):
                 self._replicate(member, progress, now)
 
-    def note_link_lost(self, instance: InstanceId, now: float) -> None:
+    def record_link_loss(self, instance: InstanceId, now: float) -> None:
         """Shorten the election timeout if the instance behind the broken link leads."""
         if self.leader is None or self.is_leader or self.leader.instance != instance:
             return
         # Allows votes for other candidates until the leader is heard again.
         self._leader_heard_at = -math.inf
-        suspected = now + SUSPICION * self._random.uniform(1.0, 2.0)
+        suspected = now + LINK_LOSS_TIMEOUT_S * self._random.uniform(1.0, 2.0)
         self._election_deadline = min(self._election_deadline, suspected)
 
-    def list_silent(self, timeout: float, now: float) -> list[Member]:
+    def list_unresponsive(self, timeout: float, now: float) -> list[Member]:
         """As leader, members without a reply for ``timeout`` seconds, longest first."""
         silent = [
-            (progress.heard, member)
+            (progress.last_reply_at, member)
             for member, progress in self._progress.items()
-            if now - progress.heard > timeout
+            if now - progress.last_reply_at > timeout
         ]
         return [member for _, member in sorted(silent)]
 
@@ -296,7 +299,7 @@
         return HardState(self.term, self._voted_for)
 
     @property
-    def applied_entries(self) -> int:
+    def entries_since_snapshot(self) -> int:
         """Number of applied entries that no snapshot covers yet."""
         return self._applied_index - self.log.base_index
 
@@ -340,7 +343,7 @@
     def _handle_vote_request(self, request: VoteRequest, now: float) -> None:
         # Ignores elections while a leader is known, so that a member which returns
         # from a partition cannot raise the term and depose the leader.
-        has_leader = self.is_leader or now - self._leader_heard_at < ELECTION_TIMEOUT
+        has_leader = self.is_leader or now - self._leader_heard_at < ELECTION_TIMEOUT_S
         if has_leader and not request.is_transfer and request.term > self.term:
             self._reply_vote(request, is_granted=False)
             return
@@ -406,19 +409,21 @@
             # The only voter has no other leader to wait for.
             self._election_deadline = now
             return
-        timeout = ELECTION_TIMEOUT if self._has_known_leader else START_TIMEOUT
+        timeout = (
+            ELECTION_TIMEOUT_S if self._has_known_leader else STARTUP_ELECTION_TIMEOUT_S
+        )
         self._election_deadline = now + timeout * self._random.uniform(1.0, 2.0)
 
     # Leading
 
     def _advance_leader(self, now: float) -> None:
         assert self._members is not None
-        heard = {
+        last_reply_at = {
             member
             for member, progress in self._progress.items()
-            if now - progress.heard < QUORUM_TIMEOUT
+            if now - progress.last_reply_at < QUORUM_TIMEOUT_S
         }
-        if not self._members.is_quorum(heard | {self.me}):
+        if not self._members.is_quorum(last_reply_at | {self.me}):
             self._become_follower(self.term, None, now)
             return
         is_removed = self.me not in self._members.voters
@@ -429,13 +434,13 @@
 
     def _broadcast(self, now: float) -> None:
         for member, progress in self._progress.items():
-            is_due = now - progress.sent >= HEARTBEAT
+            is_due = now - progress.last_sent_at >= HEARTBEAT_INTERVAL_S
             has_entries = progress.next_index <= self.log.last_index
             if is_due or (has_entries and not progress.in_flight):
                 self._replicate(member, progress, now)
 
     def _replicate(self, member: Member, progress: Progress, now: float) -> None:
-        progress.sent = now
+        progress.last_sent_at = now
         progress.in_flight = True
         previous = LogIndex(progress.next_index - 1)
         previous_term = self.log.get_term(previous)
@@ -444,8 +449,8 @@
             return
         progress.snapshot_offset = None
         self._round += 1
-        progress.note_sent(self._round, now)
-        entries = self.log.read(progress.next_index, MOST_ENTRIES)
+        progress.record_sent(self._round, now)
+        entries = self.log.read(progress.next_index, MAX_ENTRIES_PER_APPEND)
         message = Append(
             self.me,
             self.term,
@@ -472,7 +477,7 @@
             snapshot.members,
             offset,
             len(snapshot.state),
-            snapshot.state[offset : offset + SNAPSHOT_CHUNK],
+            snapshot.state[offset : offset + SNAPSHOT_CHUNK_BYTES],
         )
         self._send(member, message)
 
@@ -483,13 +488,13 @@
         progress = self._progress.get(reply.sender)
         if not self.is_leader or progress is None or reply.term < self.term:
             return
-        progress.note_heard(now)
-        progress.note_answered(reply.round)
+        progress.record_reply(now)
+        progress.record_acknowledgement(reply.round)
         if reply.is_accepted:
-            progress.note_match(reply.index)
+            progress.record_match(reply.index)
             self._advance_commit()
         else:
-            progress.step_back(reply.index)
+            progress.record_mismatch(reply.index)
         if progress.next_index <= self.log.last_index:
             self._replicate(reply.sender, progress, now)
 
@@ -500,12 +505,12 @@
         progress = self._progress.get(reply.sender)
         if not self.is_leader or progress is None or reply.term < self.term:
             return
-        progress.note_heard(now)
+        progress.record_reply(now)
         if self._snapshot is None or reply.index != self._snapshot.index:
             progress.snapshot_offset = 0
         elif reply.offset >= len(self._snapshot.state):
             progress.snapshot_offset = None
-            progress.note_match(reply.index)
+            progress.record_match(reply.index)
         else:
             progress.snapshot_offset = reply.offset
         if progress.next_index <= self.log.last_index:
@@ -515,7 +520,7 @@
         assert self._members is not None
         indexes = {m: progress.match_index for m, progress in self._progress.items()}
         indexes[self.me] = self._durable_index
-        held = find_held_by_quorum(indexes, self._members)
+        held = find_quorum_value(indexes, self._members)
         # Entries of earlier terms are committed only together with one of this term.
         # Terms in a log never decrease, so checking the newest replicated entry is
         # enough.
@@ -537,12 +542,12 @@
 
     def _sync_progress(self, now: float) -> None:
         assert self._members is not None
-        others = self._members.everyone - {self.me}
+        others = self._members.all_members - {self.me}
         for member in [m for m in self._progress if m not in others]:
             del self._progress[member]
         for member in sorted(others):
             if member not in self._progress:
-                self._progress[member] = Progress(self._next_index(), heard=now)
+                self._progress[member] = Progress(self._next_index(), last_reply_at=now)
 
     # Following
 
--- a/src/scalebend/core/control_client.py
+++ b/src/scalebend/core/control_client.py
@@ -12,11 +12,11 @@
 from scalebend.core.messages import ProposalAnswer, Propose
 from scalebend.models.ids import InstanceId
 
-RESEND = 0.3
+RESEND_INTERVAL_S = 0.3
 """Time without a reply before a proposal is sent again, to another instance."""
 
 
-class Proposed(msgspec.Struct, frozen=True):
+class ProposalOutcome(msgspec.Struct, frozen=True):
     """Outcome of a proposal; ``result`` is ``None`` if it timed out."""
 
     proposal: str
@@ -63,26 +63,26 @@
 
     def handle(
         self, reply: ProposalAnswer, now: float
-    ) -> tuple[list[Proposed], list[Submission]]:
+    ) -> tuple[list[ProposalOutcome], list[Submission]]:
         """Process a reply; one without a result names the leader to send to instead."""
         pending = self._pending.get(reply.proposal)
         if pending is None:
             return [], []
         if reply.result is not None:
             del self._pending[reply.proposal]
-            return [Proposed(reply.proposal, reply.result)], []
+            return [ProposalOutcome(reply.proposal, reply.result)], []
         if reply.leader is not None and reply.leader != self._leader:
             self._leader = reply.leader
             pending.send_at = now
             pending.was_sent = False
         return [], self._send_due(now)
 
-    def advance(self, now: float) -> tuple[list[Proposed], list[Submission]]:
+    def advance(self, now: float) -> tuple[list[ProposalOutcome], list[Submission]]:
         """End proposals past their deadline; send the others again when due."""
         ended = [name for name, p in self._pending.items() if now >= p.deadline]
         for name in ended:
             del self._pending[name]
-        return [Proposed(name, None) for name in ended], self._send_due(now)
+        return [ProposalOutcome(name, None) for name in ended], self._send_due(now)
 
     def _send_due(self, now: float) -> list[Submission]:
         due_proposals = [p for p in self._pending.values() if p.send_at <= now]
@@ -91,7 +91,7 @@
             self._leader = None
         submissions = []
         for pending in due_proposals:
-            pending.send_at = now + RESEND
+            pending.send_at = now + RESEND_INTERVAL_S
             pending.was_sent = True
             target = self._choose_target()
             if target is not None:
--- a/src/scalebend/core/control_member.py
+++ b/src/scalebend/core/control_member.py
@@ -45,27 +45,27 @@
 
 logger = structlog.get_logger(__name__)
 
-HELLO_PERIOD = 0.5
+HELLO_INTERVAL_S = 0.5
 """Time between two attempts to form or join a group."""
 
-SNAPSHOT_ENTRIES = 2_000
+SNAPSHOT_INTERVAL_ENTRIES = 2_000
 """Applied entries after which a snapshot is taken."""
 
-SNAPSHOT_BYTES = 4 * 1024 * 1024
+SNAPSHOT_INTERVAL_BYTES = 4 * 1024 * 1024
 """Applied commands after which a snapshot is taken; bounds the replay time at start
 and the size of the journal."""
 
-LEADER_SILENCE = 2.0
+LEADERLESS_TIMEOUT_S = 2.0
 """Time without a leader after which a member contacts its peers again: it may have
 been replaced while it was down."""
 
-DEAD_VOTER = 4.0
+VOTER_TIMEOUT_S = 4.0
 """Time without a reply after which a learner may replace a voter."""
 
-DEAD_LEARNER = 15.0
+LEARNER_TIMEOUT_S = 15.0
 """Time without a reply after which a learner is removed."""
 
-LIST_PERIOD = 0.2
+LIST_CHECK_INTERVAL_S = 0.2
 """Time between two comparisons of the live instances with the committed list."""
 
 
@@ -96,7 +96,7 @@
         now: float,
         seed: int = 0,
         may_found: bool = True,
-        may_be_named: bool = False,
+        may_be_sole_founder: bool = False,
         voters_wanted: int | None = None,
     ) -> None:
         """Recover the member from ``recovered``.
@@ -104,7 +104,7 @@
         ``voters_wanted``: number of voters in a group that replaces unresponsive
         voters by itself; without it, the configured peers stay the voters.
         ``may_found``: whether this instance may form a group.
-        ``may_be_named``: whether a relay may name this instance as the sole founder
+        ``may_be_sole_founder``: whether a relay may name this instance as founder
         where no configured peer has a disk.
         """
         self.me = Member(instance, recovered.disk)
@@ -115,7 +115,7 @@
         self._peers = list(peers)
         self._founders = set(peers)
         self._may_found = may_found
-        self._may_be_sole_founder = may_be_named
+        self._may_be_sole_founder = may_be_sole_founder
         self._relays: set[InstanceId] = set()
         self._voters_wanted = voters_wanted
         self._leader_seen_at = now
@@ -151,7 +151,7 @@
                 self._reply_to_hello(sender, message)
             case HelloReply():
                 self._hellos[sender] = message
-                self.note_instances(message.instances)
+                self.record_control_instances(message.instances)
                 self._try_to_found()
             case RelayReply(instances, founder):
                 self._handle_relay_reply(sender, instances, founder)
@@ -171,9 +171,9 @@
         self.replica.advance(now)
         if self.replica.leader is not None:
             self._leader_seen_at = now
-        is_leaderless = now - self._leader_seen_at > LEADER_SILENCE
+        is_leaderless = now - self._leader_seen_at > LEADERLESS_TIMEOUT_S
         if now >= self._next_hello_at and (is_leaderless or not self.replica.is_voter):
-            self._next_hello_at = now + HELLO_PERIOD
+            self._next_hello_at = now + HELLO_INTERVAL_S
             self._seek_group()
         if self.replica.is_leader:
             self._promote_learners(now)
@@ -188,7 +188,7 @@
         """As leader, propose the live instances if the committed list differs."""
         if not self.is_list_due(now):
             return
-        self._next_list_check_at = now + LIST_PERIOD
+        self._next_list_check_at = now + LIST_CHECK_INTERVAL_S
         current = self.state.instances
         if sorted(live) == sorted(current.instances):
             return
@@ -228,8 +228,8 @@
 
     def build_due_snapshot(self) -> Snapshot | None:
         """Return a snapshot if enough was applied since the last one, else ``None``."""
-        has_many = self.replica.applied_entries >= SNAPSHOT_ENTRIES
-        if not has_many and self._applied_bytes < SNAPSHOT_BYTES:
+        has_many = self.replica.entries_since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES
+        if not has_many and self._applied_bytes < SNAPSHOT_INTERVAL_BYTES:
             return None
         self._applied_bytes = 0
         return self.replica.build_snapshot(self.state.export())
@@ -260,17 +260,17 @@
 
     def _list_control_instances(self) -> list[InstanceId]:
         members = self.replica.members
-        everyone = members.everyone if members is not None else frozenset()
-        return sorted({member.instance for member in everyone})
+        all_members = members.all_members if members is not None else frozenset()
+        return sorted({member.instance for member in all_members})
 
-    def note_instances(self, instances: list[InstanceId]) -> None:
+    def record_control_instances(self, instances: list[InstanceId]) -> None:
         """Add known, possibly former, control instances to the peers to contact."""
         for instance in instances:
             if instance != self.me.instance and instance not in self._peers:
                 self._peers.append(instance)
 
     def _seek_group(self) -> None:
-        self.note_instances(self._list_control_instances())
+        self.record_control_instances(self._list_control_instances())
         for peer in self._peers:
             self._send(peer, Hello(self.me, self._has_group))
         if not self._peers:
@@ -305,7 +305,7 @@
         self, relay: InstanceId, instances: list[InstanceId], founder: InstanceId | None
     ) -> None:
         self._relays.add(relay)
-        self.note_instances(instances)
+        self.record_control_instances(instances)
         is_named = founder == self.me.instance and self._may_be_sole_founder
         is_unformed = not any(reply.has_group for reply in self._hellos.values())
         if is_named and is_unformed and not self._has_group:
@@ -318,7 +318,7 @@
         members = self.replica.members
         if members is None or not self.replica.is_leader:
             return
-        if member in members.everyone:
+        if member in members.all_members:
             return
         learners = {m for m in members.learners if m.instance != member.instance}
         changed = Members(members.voters, frozenset(learners | {member}))
@@ -337,7 +337,7 @@
                 len(members.voters) >= self._voters_wanted
             )
             if not replaced and is_full:
-                unresponsive = self.replica.list_silent(DEAD_VOTER, now)
+                unresponsive = self.replica.list_unresponsive(VOTER_TIMEOUT_S, now)
                 expired = [
                     member for member in unresponsive if member in members.voters
                 ]
@@ -358,7 +358,7 @@
         self._remove_expired_learners(members, now)
 
     def _remove_expired_learners(self, members: Members, now: float) -> None:
-        unresponsive = self.replica.list_silent(DEAD_LEARNER, now)
+        unresponsive = self.replica.list_unresponsive(LEARNER_TIMEOUT_S, now)
         expired = members.learners & frozenset(unresponsive)
         if not expired:
             return
--- a/src/scalebend/core/control_state.py
+++ b/src/scalebend/core/control_state.py
@@ -34,10 +34,10 @@
 )
 from scalebend.models.routing import StoredRouting
 
-REMEMBERED_CHANGES = 1_000
+MAX_REMEMBERED_CHANGES = 1_000
 """Accepted changes whose ids are kept to recognize a resent change."""
 
-LONGEST_CLOCK_STEP = 60.0
+MAX_CLOCK_STEP_S = 60.0
 """Longest step by which one entry may advance the state's clock.
 
 Keeps a leader whose wall clock jumped ahead from expiring every claim at once.
@@ -65,7 +65,7 @@
 EMPTY_LIST = InstanceList(Epoch(0), [])
 
 
-class Apply(msgspec.Struct, frozen=True, tag=True):
+class ApplyConfiguration(msgspec.Struct, frozen=True, tag="Apply"):
     """Command: replace the configuration."""
 
     change: ConfigurationChange
@@ -88,7 +88,9 @@
     """Command without effect; its commit proves that a quorum was reached."""
 
 
-Command = Apply | SetInstances | PutRouting | Barrier | Claim | Settle | Withdraw
+Command = (
+    ApplyConfiguration | SetInstances | PutRouting | Barrier | Claim | Settle | Withdraw
+)
 
 
 class Accepted(msgspec.Struct, frozen=True, tag=True):
@@ -111,14 +113,14 @@
     epoch: Epoch
 
 
-class RoutingHeld(msgspec.Struct, frozen=True, tag=True):
+class RoutingResult(msgspec.Struct, frozen=True, tag="RoutingHeld"):
     """Result: version of the routing document that is stored now."""
 
     version: RoutingVersion
 
 
 Result = (
-    Accepted | Conflict | Done | RoutingHeld | ClaimTaken | ClaimKnown | ClaimConflict
+    Accepted | Conflict | Done | RoutingResult | ClaimTaken | ClaimKnown | ClaimConflict
 )
 
 
@@ -149,7 +151,7 @@
         self._advance_clock(at)
         command = decode_command(data)
         match command:
-            case Apply(change):
+            case ApplyConfiguration(change):
                 return self._apply_change(change)
             case SetInstances():
                 self._set_instances(command)
@@ -194,7 +196,7 @@
             version, change.change, change.operator, change.configuration
         )
         self._changes[change.change] = version
-        while len(self._changes) > REMEMBERED_CHANGES:
+        while len(self._changes) > MAX_REMEMBERED_CHANGES:
             del self._changes[next(iter(self._changes))]
         return Accepted(version)
 
@@ -202,7 +204,7 @@
         # Ignores a document that is not newer, so that a resend changes nothing.
         if self.routing is None or routing.version > self.routing.version:
             self.routing = routing
-        return RoutingHeld(self.routing.version)
+        return RoutingResult(self.routing.version)
 
     def _set_instances(self, command: SetInstances) -> None:
         if command.base == self.instances.epoch:
@@ -213,7 +215,7 @@
         if not self._clock:
             self._clock = at
             return
-        self._clock = max(self._clock, min(at, self._clock + LONGEST_CLOCK_STEP))
+        self._clock = max(self._clock, min(at, self._clock + MAX_CLOCK_STEP_S))
 
 
 def encode_command(command: Command) -> bytes:
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -11,7 +11,7 @@
 
 from scalebend.core.consensus.messages import ConsensusMessage, Ready
 from scalebend.core.control_member import ControlMember, ToInstance
-from scalebend.core.control_state import PutRouting, RoutingHeld, encode_command
+from scalebend.core.control_state import PutRouting, RoutingResult, encode_command
 from scalebend.core.gateway.catalogue_push import CataloguePush
 from scalebend.core.gateway.control_actions import (
     ControlAction,
@@ -158,7 +158,7 @@
             case Hello() | HelloReply() | RelayReply() | Found() | Join():
                 self.member.handle(sender, message, now, at)
             case KnownInstances(instances):
-                self.member.note_instances(instances)
+                self.member.record_control_instances(instances)
             case _ if isinstance(message, ConsensusMessage):
                 self.member.handle(sender, message, now, at)
         return []
@@ -330,8 +330,8 @@
 
     def _list_instances(self) -> list[InstanceId]:
         members = self.member.replica.members
-        everyone = members.everyone if members is not None else frozenset()
-        return sorted({member.instance for member in everyone} | {self.me})
+        all_members = members.all_members if members is not None else frozenset()
+        return sorted({member.instance for member in all_members} | {self.me})
 
     def _list_peers(self) -> list[InstanceId]:
         return [one for one in self._list_instances() if one != self.me]
@@ -457,7 +457,7 @@
         )
         urgent_at = self._questions.find_urgent()
         if urgent_at is not None:
-            replica.hasten_confirmation(urgent_at, now)
+            replica.request_confirmation(urgent_at, now)
         readers = [question.reader for question in answered if question.front is None]
         actions: list[ControlAction] = []
         for question in answered:
@@ -481,5 +481,5 @@
 
 def _read_answer(answer: ProposalAnswer) -> ProposalEnded:
     result = answer.result
-    held = result.version if isinstance(result, RoutingHeld) else None
+    held = result.version if isinstance(result, RoutingResult) else None
     return ProposalEnded(answer.proposal, held)
--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -17,7 +17,7 @@
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.catalog import Catalog
 from scalebend.core.consensus.messages import Ready, Recovered
-from scalebend.core.control_client import ControlClient, Proposed, Submission
+from scalebend.core.control_client import ControlClient, ProposalOutcome, Submission
 from scalebend.core.control_member import ControlMember, ToInstance
 from scalebend.core.control_state import (
     EMPTY_LIST,
@@ -37,7 +37,7 @@
     StartAttempt,
     ToOwner,
 )
-from scalebend.core.list_history import ListHistory, WholeList, apply_news
+from scalebend.core.list_history import ListHistory, WholeList, apply_list_update
 from scalebend.core.membership import MemberRank, Membership, Outbound
 from scalebend.core.messages import (
     Announced,
@@ -125,7 +125,7 @@
     | Conclude
     | CancelOnEngine
     | SendOrder
-    | Proposed
+    | ProposalOutcome
 )
 
 
@@ -488,7 +488,7 @@
         )
         return [ToInstance(sender, published)] if published is not None else []
 
-    def _take_ended(self, ended: list[Proposed]) -> list[_Step]:
+    def _take_ended(self, ended: list[ProposalOutcome]) -> list[_Step]:
         steps: list[_Step] = []
         for proposed in ended:
             if proposed.proposal != self._barrier:
@@ -507,7 +507,7 @@
         steps: list[_Step] = []
         listed = None
         if published.instances is not None:
-            listed = apply_news(published.instances, self.instances)
+            listed = apply_list_update(published.instances, self.instances)
         if listed is not None:
             self.instances = listed
             self._lists.put(listed)
--- a/src/scalebend/core/list_history.py
+++ b/src/scalebend/core/list_history.py
@@ -9,7 +9,7 @@
 from scalebend.core.control_state import InstanceList, ListedInstance
 from scalebend.models.ids import Epoch, InstanceId
 
-MOST_REMEMBERED = 64
+MAX_REMEMBERED_LISTS = 64
 """Lists kept; an instance with an older one receives the whole newest list."""
 
 
@@ -28,7 +28,7 @@
     instances: InstanceList
 
 
-ListNews = ListChange | WholeList
+ListUpdate = ListChange | WholeList
 
 
 class ListHistory:
@@ -42,10 +42,10 @@
         if newest.epoch in self._lists:
             return
         self._lists[newest.epoch] = newest
-        while len(self._lists) > MOST_REMEMBERED:
+        while len(self._lists) > MAX_REMEMBERED_LISTS:
             self._lists.popitem(last=False)
 
-    def build_news(self, epoch: Epoch, newest: InstanceList) -> ListNews | None:
+    def build_update(self, epoch: Epoch, newest: InstanceList) -> ListUpdate | None:
         """Return the update for an instance with the list of ``epoch``, if any."""
         if newest.epoch <= epoch:
             return None
@@ -60,9 +60,9 @@
         return ListChange(epoch, newest.epoch, joined, sorted(left))
 
 
-def apply_news(news: ListNews, current: InstanceList) -> InstanceList | None:
+def apply_list_update(update: ListUpdate, current: InstanceList) -> InstanceList | None:
     """Return the newer list; ``None`` if the update does not fit ``current``."""
-    match news:
+    match update:
         case WholeList(instances):
             return instances if instances.epoch > current.epoch else None
         case ListChange(base, epoch, joined, left):
--- a/src/scalebend/core/messages.py
+++ b/src/scalebend/core/messages.py
@@ -6,7 +6,7 @@
 
 from scalebend.core.consensus.messages import ConsensusMessage, Member, Members
 from scalebend.core.control_state import ListedInstance, Result
-from scalebend.core.list_history import ListNews
+from scalebend.core.list_history import ListUpdate
 from scalebend.core.shares import Usage
 from scalebend.models.configuration import AcceptedConfiguration
 from scalebend.models.crashes import CrashRecord
@@ -96,7 +96,7 @@
     """Committed state, as far as it is newer than was asked."""
 
     configuration: AcceptedConfiguration | None
-    instances: ListNews | None
+    instances: ListUpdate | None
 
 
 class Announced(msgspec.Struct, frozen=True, tag=True):
--- a/src/scalebend/core/publication.py
+++ b/src/scalebend/core/publication.py
@@ -16,7 +16,7 @@
 ) -> Published | None:
     """Return what is newer than the asker has; ``None`` when nothing is."""
     newer = configuration if configuration.version > fetch.version else None
-    listed = history.build_news(fetch.epoch, instances)
+    listed = history.build_update(fetch.epoch, instances)
     if newer is None and listed is None:
         return None
     return Published(newer, listed)
--- a/src/scalebend/edges/admin.py
+++ b/src/scalebend/edges/admin.py
@@ -7,7 +7,7 @@
 import msgspec
 from aiohttp import web
 
-from scalebend.core.control_state import Accepted, Apply, Conflict
+from scalebend.core.control_state import Accepted, ApplyConfiguration, Conflict
 from scalebend.core.membership import MemberRank
 from scalebend.edges.authorization import read_key
 from scalebend.edges.runtime import Runtime
@@ -177,7 +177,7 @@
         check_configuration(change.configuration)
         if not change.change:
             raise RequestError("$.change: expected a change id")
-        match await self._runtime.propose(Apply(change), APPLY_TIMEOUT):
+        match await self._runtime.propose(ApplyConfiguration(change), APPLY_TIMEOUT):
             case Accepted(version):
                 return _answer(ApplyAnswer(version))
             case Conflict(winner, base):
--- a/src/scalebend/edges/gateway/control_runtime.py
+++ b/src/scalebend/edges/gateway/control_runtime.py
@@ -78,7 +78,7 @@
             now=self.now(),
             seed=time.time_ns(),
             may_found=settings.is_first_start and me in settings.seeds,
-            may_be_named=settings.is_first_start,
+            may_be_sole_founder=settings.is_first_start,
             voters_wanted=2 * settings.tolerated_losses + 1,
         )
         self.instance = ControlInstance(
@@ -169,7 +169,7 @@
                 self.instance.remove_relay(peer.instance)
             case GatewayRole.CONTROL:
                 replica = self.instance.member.replica
-                replica.note_link_lost(peer.instance, self.now())
+                replica.record_link_loss(peer.instance, self.now())
 
     def execute(self, actions: Iterable[ControlAction]) -> None:
         """Carry out actions of the core."""
--- a/src/scalebend/edges/gateway/control_server.py
+++ b/src/scalebend/edges/gateway/control_server.py
@@ -54,7 +54,7 @@
             address = settings.link_listen or settings.link_address
             links = run_links(address, runtime.server, runtime.dialer, runtime.run())
             await stack.enter_async_context(links)
-            note_seeds = runtime.instance.member.note_instances
+            note_seeds = runtime.instance.member.record_control_instances
             await stack.enter_async_context(watch.tell(note_seeds))
             # Votes are cast meanwhile.
             calls = await load_http(
--- a/src/scalebend/edges/runtime.py
+++ b/src/scalebend/edges/runtime.py
@@ -27,7 +27,7 @@
     Withdraw,
 )
 from scalebend.core.consensus.messages import Ready, Recovered
-from scalebend.core.control_client import Proposed
+from scalebend.core.control_client import ProposalOutcome
 from scalebend.core.control_member import ToInstance
 from scalebend.core.control_state import Command, Result
 from scalebend.core.flow import (
@@ -252,7 +252,7 @@
                 self._spawn(self._cancel_on_engine(upstream, attempt))
             case SendOrder(upstream, order):
                 self._spawn(self._send_order(upstream, order))
-            case Proposed(proposal, result):
+            case ProposalOutcome(proposal, result):
                 future = self._proposals.pop(proposal, None)
                 if future is not None and not future.done():
                     future.set_result(result)
--- a/src/scalebend/measuring/changes.py
+++ b/src/scalebend/measuring/changes.py
@@ -9,7 +9,7 @@
 
 from scalebend.core.consensus.messages import Recovered
 from scalebend.core.control_member import ControlMember
-from scalebend.core.control_state import Apply, encode_command
+from scalebend.core.control_state import ApplyConfiguration, encode_command
 from scalebend.measuring.harness import START_TIME, Harness
 from scalebend.measuring.scenario import LoadCustomer, Scenario
 from scalebend.models.configuration import Configuration, ConfigurationChange, Customer
@@ -83,7 +83,7 @@
         ChangeId(f"change-{number}"),
         Configuration(customers=[Customer(CustomerId(f"c{number}"), [])]),
     )
-    harness.propose(instances[number % len(instances)], Apply(change))
+    harness.propose(instances[number % len(instances)], ApplyConfiguration(change))
     accepted: float | None = None
     deadline = harness.now + LONGEST_WAIT
     while harness.now < deadline:
@@ -152,7 +152,7 @@
         ChangeId(f"change-{number}"),
         Configuration(customers=[Customer(CustomerId(f"c{number}"), [])]),
     )
-    member.replica.propose(encode_command(Apply(change)), 1.0, 10.0)
+    member.replica.propose(encode_command(ApplyConfiguration(change)), 1.0, 10.0)
     _carry_out(member, journal, 10.0)
 
 
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -15,9 +15,9 @@
 
 from scalebend.core.claims import Claim, ClaimTaken, Settle, StoredAnswer
 from scalebend.core.consensus.messages import DiskId, HardState, Recovered
-from scalebend.core.control_client import Proposed
+from scalebend.core.control_client import ProposalOutcome
 from scalebend.core.control_member import ToInstance
-from scalebend.core.control_state import Apply, Command
+from scalebend.core.control_state import ApplyConfiguration, Command
 from scalebend.core.flow import (
     AbortAttempt,
     AttemptResult,
@@ -266,7 +266,7 @@
             ConfigurationVersion(0), ChangeId("measure"), configuration
         )
         first = next(iter(self._instances))
-        self.propose(self._instances[first], Apply(change))
+        self.propose(self._instances[first], ApplyConfiguration(change))
 
     # Instances
 
@@ -328,7 +328,7 @@
                 self._cancel(name, upstream, attempt)
             case Conclude(request, error):
                 self._conclude(name, request, error)
-            case Proposed(proposal, result):
+            case ProposalOutcome(proposal, result):
                 self._take_claim(proposal, result)
 
     def send_datagram(self, name: InstanceId, address: str, datagram: Datagram) -> None:
--- a/tests/lib/control_group.py
+++ b/tests/lib/control_group.py
@@ -116,7 +116,7 @@
             for action in member.finish(ready, self.now):
                 self.flights.append((name, action.instance, action.message))
             self.note_leader(name)
-            if member.replica.applied_entries >= self.snapshot_entries:
+            if member.replica.entries_since_snapshot >= self.snapshot_entries:
                 snapshot = member.replica.build_snapshot(member.state.export())
                 disk.store_snapshot(snapshot, *member.read_tail(snapshot))
                 member.replica.compact(snapshot)
--- a/tests/unit/gateway/test_group_changes.py
+++ b/tests/unit/gateway/test_group_changes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from scalebend.core.control_state import Barrier, PutRouting, RoutingHeld
+from scalebend.core.control_state import Barrier, PutRouting, RoutingResult
 from scalebend.core.gateway.routing_store import pack_routing
 from tests.lib.control_group import ControlGroup
 from tests.lib.gateway_builders import build_routing
@@ -32,7 +32,7 @@
 
 def put(group, version):
     stored = pack_routing(build_routing(version), f"{version}".encode())
-    assert commit(group, f"put-{version}", PutRouting(stored)) == RoutingHeld(version)
+    assert commit(group, f"put-{version}", PutRouting(stored)) == RoutingResult(version)
 
 
 def test_group_founded_by_the_seeds_grows_to_all():
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from scalebend.core.control_state import PutRouting, RoutingHeld
+from scalebend.core.control_state import PutRouting, RoutingResult
 from scalebend.core.gateway.link_history import MOST_STARTS, WINDOW, LinkHistory
 from scalebend.core.gateway.messages import ControlNews, Introduce, KnownInstances
 from scalebend.core.gateway.relay_instance import RelayInstance
@@ -81,7 +81,7 @@
 
 def put(group, version):
     stored = pack_routing(build_routing(version), f"{version}".encode())
-    assert commit(group, f"put-{version}", PutRouting(stored)) == RoutingHeld(version)
+    assert commit(group, f"put-{version}", PutRouting(stored)) == RoutingResult(version)
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_consensus_rules.py
+++ b/tests/unit/test_consensus_rules.py
@@ -12,16 +12,16 @@
     VoteRequest,
 )
 from scalebend.core.consensus.replica import (
-    ELECTION_TIMEOUT,
-    LEAST_BETWEEN_ROUNDS,
-    SUSPICION,
+    ELECTION_TIMEOUT_S,
+    LINK_LOSS_TIMEOUT_S,
+    MIN_ROUND_INTERVAL_S,
     Replica,
 )
 
 A, B, C = (Member(name, f"{name}-disk") for name in "abc")
 MEMBERS = Members(frozenset({A, B, C}))
 FIRST = LogEntry(1, 0, 0.0, members=MEMBERS)
-LATER = 10 * ELECTION_TIMEOUT
+LATER = 10 * ELECTION_TIMEOUT_S
 
 
 def build_replica(entries=(), hard_state=None, me=A):
@@ -135,13 +135,13 @@
     replica.handle(AppendReply(B, replica.term, True, 2, first.round), LATER)
     carry_out(replica)
     assert replica.compute_confirmed_at(LATER) == LATER
-    asked_at = LATER + 2 * LEAST_BETWEEN_ROUNDS
+    asked_at = LATER + 2 * MIN_ROUND_INTERVAL_S
     replica.advance(asked_at)
     assert list_appends(replica) == []
-    replica.hasten_confirmation(asked_at, asked_at)
+    replica.request_confirmation(asked_at, asked_at)
     hastened = list_appends(replica)
     assert len(hastened) == 2
-    replica.hasten_confirmation(asked_at, asked_at + LEAST_BETWEEN_ROUNDS / 2)
+    replica.request_confirmation(asked_at, asked_at + MIN_ROUND_INTERVAL_S / 2)
     assert list_appends(replica) == []
     newest = max(append.round for append in hastened)
     replica.handle(AppendReply(B, replica.term, True, 2, newest), asked_at)
@@ -161,27 +161,27 @@
 def test_follower_whose_leader_s_link_broke_asks_for_votes_soon():
     replica = build_replica()
     follow(replica)
-    replica.note_link_lost(B.instance, LATER)
-    replica.advance(LATER + SUSPICION - 0.01)
+    replica.record_link_loss(B.instance, LATER)
+    replica.advance(LATER + LINK_LOSS_TIMEOUT_S - 0.01)
     assert not list_requests(replica)
-    replica.advance(LATER + 2 * SUSPICION)
+    replica.advance(LATER + 2 * LINK_LOSS_TIMEOUT_S)
     assert list_requests(replica)
 
 
 def test_loss_of_another_link_says_nothing_of_the_leader():
     replica = build_replica()
     follow(replica)
-    replica.note_link_lost(C.instance, LATER)
-    replica.advance(LATER + ELECTION_TIMEOUT - 0.01)
+    replica.record_link_loss(C.instance, LATER)
+    replica.advance(LATER + ELECTION_TIMEOUT_S - 0.01)
     assert not list_requests(replica)
 
 
 def test_leader_that_is_heard_again_stays():
     replica = build_replica()
     follow(replica)
-    replica.note_link_lost(B.instance, LATER)
-    follow(replica, LATER + SUSPICION / 2)
-    replica.advance(LATER + 2 * SUSPICION)
+    replica.record_link_loss(B.instance, LATER)
+    follow(replica, LATER + LINK_LOSS_TIMEOUT_S / 2)
+    replica.advance(LATER + 2 * LINK_LOSS_TIMEOUT_S)
     assert not list_requests(replica)
-    replica.handle(ask(C, 4), LATER + 2 * SUSPICION)
+    replica.handle(ask(C, 4), LATER + 2 * LINK_LOSS_TIMEOUT_S)
     assert not read_vote(replica)[0]
--- a/tests/unit/test_control_group.py
+++ b/tests/unit/test_control_group.py
@@ -9,7 +9,7 @@
     rule,
 )
 
-from scalebend.core.control_state import Accepted, Apply, Barrier, Conflict
+from scalebend.core.control_state import Accepted, ApplyConfiguration, Barrier, Conflict
 from scalebend.models.configuration import Configuration, ConfigurationChange, Model
 from tests.lib.control_group import ControlGroup
 
@@ -18,7 +18,7 @@
 
 def build_change(base, change, model="m"):
     configuration = Configuration(models=[Model(model)])
-    return Apply(ConfigurationChange(base, change, configuration, "op"))
+    return ApplyConfiguration(ConfigurationChange(base, change, configuration, "op"))
 
 
 def build_group(names=NAMES, **options):
@@ -262,7 +262,10 @@
         """The changes that won, by an oracle that only looks at the log's order."""
         winners = []
         for command in self.group.list_commands():
-            if isinstance(command, Apply) and command.change.change not in winners:
+            if (
+                isinstance(command, ApplyConfiguration)
+                and command.change.change not in winners
+            ):
                 if command.change.base == len(winners):
                     winners.append(command.change.change)
         return winners
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -6,7 +6,7 @@
 import pytest
 
 from scalebend.core.control_state import InstanceList, ListedInstance
-from scalebend.core.list_history import ListChange, ListHistory, apply_news
+from scalebend.core.list_history import ListChange, ListHistory, apply_list_update
 from scalebend.core.membership import Membership
 from scalebend.core.messages import Datagram
 
@@ -168,13 +168,13 @@
         ]
         lists.append(InstanceList(epoch, sorted(items)))
         history.put(lists[-1])
-    news = history.build_news(known, lists[-1])
+    news = history.build_update(known, lists[-1])
     if known == 7:
         assert news is None
         return
     assert isinstance(news, ListChange)
-    assert apply_news(news, lists[known]) == lists[-1]
-    assert apply_news(news, lists[known + 1]) is None
-    whole = ListHistory().build_news(known, lists[-1])
-    assert apply_news(whole, lists[known]) == lists[-1]
-    assert apply_news(whole, lists[-1]) is None
+    assert apply_list_update(news, lists[known]) == lists[-1]
+    assert apply_list_update(news, lists[known + 1]) is None
+    whole = ListHistory().build_update(known, lists[-1])
+    assert apply_list_update(whole, lists[known]) == lists[-1]
+    assert apply_list_update(whole, lists[-1]) is None
