--- a/tests/lib/control_group.py
+++ b/tests/lib/control_group.py
@@ -1,4 +1,4 @@
-"""Control members over a lossy network and disks that drop what was not synced."""
+"""Simulated control group: a lossy network and disks that keep only synced writes."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class Disk:
-    """What a crash leaves: only whole, synced writes."""
+    """Disk whose contents after a crash are the whole, synced writes."""
 
     def __init__(self, name):
         self.name = DiskId(name)
@@ -39,21 +39,21 @@
 
 
 class ControlGroup:
-    """Members by name, messages in flight, and what each member applied."""
+    """Members by name, messages in flight, and the entries that were applied."""
 
     def __init__(self, names, snapshot_entries=8, seeds=None, voters_wanted=None):
-        """With ``seeds``, members find each other through these and may be replaced."""
+        """With ``seeds``, members discover each other through these."""
         self.names = list(names)
         self.seeds = seeds
         self.voters_wanted = voters_wanted
         self.now = 0.0
         self.disks = {name: Disk(f"{name}-disk-0") for name in self.names}
         self.members = {}
-        self.flights = []
-        self.answers = {}
+        self.in_flight = []
+        self.results = {}
         self.applied = {}
         self.leaders = {}
-        self.cut = set()
+        self.isolated = set()
         self.snapshot_entries = snapshot_entries
         self.starts = 0
         self.is_first_start = True
@@ -79,13 +79,13 @@
         self.members.pop(name, None)
 
     def add(self, name):
-        """A machine joins with an empty disk."""
+        """Add an instance with an empty disk."""
         self.names.append(name)
         self.disks[name] = Disk(f"{name}-disk-{self.starts}")
         self.start(name)
 
     def remove(self, name):
-        """A machine is gone for good."""
+        """Remove an instance permanently."""
         self.crash(name)
         self.names.remove(name)
 
@@ -95,7 +95,10 @@
         self.start(name)
 
     def pump(self, name, crash_after=None):
-        """Carry out what the member wants; maybe die after a number of writes."""
+        """Carry out the member's pending work.
+
+        ``crash_after``: crash before (0) or right after (1) the first write.
+        """
         member = self.members.get(name)
         disk = self.disks[name]
         while member is not None:
@@ -112,46 +115,46 @@
             if crash_after == 1:
                 self.crash(name)
                 return
-            self.note_applied(name, ready)
+            self.record_applied(name, ready)
             for action in member.finish(ready, self.now):
-                self.flights.append((name, action.instance, action.message))
-            self.note_leader(name)
+                self.in_flight.append((name, action.instance, action.message))
+            self.record_leader(name)
             if member.replica.entries_since_snapshot >= self.snapshot_entries:
                 snapshot = member.replica.build_snapshot(member.state.export())
                 disk.store_snapshot(snapshot, *member.read_tail(snapshot))
                 member.replica.compact(snapshot)
 
-    def note_applied(self, name, ready):
+    def record_applied(self, name, ready):
         for entry in ready.committed:
             known = self.applied.setdefault(entry.index, entry)
             assert known == entry, f"two entries committed at {entry.index}"
 
-    def note_leader(self, name):
+    def record_leader(self, name):
         replica = self.members[name].replica
         if replica.is_leader:
             known = self.leaders.setdefault(replica.term, replica.me)
             assert known == replica.me, f"two leaders in term {replica.term}"
 
     def deliver(self, position, *, keep=False):
-        sender, to, message = self.flights[position]
+        sender, to, message = self.in_flight[position]
         if not keep:
-            del self.flights[position]
+            del self.in_flight[position]
         if to == CLIENT:
-            self.take_answer(message)
+            self.record_result(message)
             return
-        if {sender, to} & self.cut or to not in self.members:
+        if {sender, to} & self.isolated or to not in self.members:
             return
-        # Through the codec, as between processes.
+        # Encodes and decodes the message, as between processes.
         data = msgspec.msgpack.encode(message)
         copy = msgspec.msgpack.decode(data, type=type(message))
         self.members[to].handle(sender, copy, self.now, 1_000.0 + self.now)
         self.pump(to)
 
-    def take_answer(self, message):
+    def record_result(self, message):
         assert isinstance(message, ProposalAnswer)
         if message.result is not None:
-            known = self.answers.setdefault(message.proposal, message.result)
-            assert known == message.result, "two answers to one proposal"
+            known = self.results.setdefault(message.proposal, message.result)
+            assert known == message.result, "two results of one proposal"
 
     def propose(self, name, proposal, command):
         if name in self.members:
@@ -167,13 +170,13 @@
 
     def deliver_all(self, most=5_000):
         for _ in range(most):
-            if not self.flights:
+            if not self.in_flight:
                 return
             self.deliver(0)
 
     def settle(self, seconds=6.0):
-        """Everything up and connected for a while."""
-        self.cut.clear()
+        """Start and connect all members, then run for ``seconds``."""
+        self.isolated.clear()
         for name in self.names:
             if name not in self.members:
                 self.start(name)
--- a/tests/unit/gateway/test_group_changes.py
+++ b/tests/unit/gateway/test_group_changes.py
@@ -44,7 +44,7 @@
     group = ControlGroup(NAMES, seeds=SEEDS, voters_wanted=5)
     for _ in range(30):
         group.advance(0.1)
-        group.flights = [f for f in group.flights if type(f[2]).__name__ != "Found"]
+        group.in_flight = [f for f in group.in_flight if type(f[2]).__name__ != "Found"]
         group.deliver_all()
     assert group.members["a"].replica.members is not None
     group.settle()
@@ -126,7 +126,7 @@
     member = group.members[old]
     confirmed = member.replica.compute_confirmed_at(group.now)
     assert confirmed is not None and confirmed <= group.now
-    group.cut.add(old)
+    group.isolated.add(old)
     cut_at = group.now
     run(group, 0.5)
     confirmed = member.replica.compute_confirmed_at(group.now)
@@ -141,14 +141,14 @@
     put(group, 1)
     old = group.find_leader()
     behind = next(name for name in group.names if name != old)
-    group.cut.add(behind)
+    group.isolated.add(behind)
     put(group, 2)
     group.crash(old)
-    group.flights.clear()
-    group.cut.clear()
+    group.in_flight.clear()
+    group.isolated.clear()
     for _ in range(80):
         group.advance(0.05)
-        while group.flights:
+        while group.in_flight:
             group.deliver(0)
             for name, member in group.members.items():
                 confirmed = member.replica.compute_confirmed_at(group.now)
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -56,15 +56,15 @@
         self.members[name]._may_be_sole_founder = self.is_first_start
 
     def deliver(self, position, *, keep=False):
-        sender, to, message = self.flights[position]
+        sender, to, message = self.in_flight[position]
         if to not in self.relays:
             super().deliver(position, keep=keep)
             return
         if not keep:
-            del self.flights[position]
-        if isinstance(message, Hello) and not {sender, to} & self.cut:
+            del self.in_flight[position]
+        if isinstance(message, Hello) and not {sender, to} & self.isolated:
             reply = self.relays[to].answer_hello(sender, message)
-            self.flights.append((to, sender, reply))
+            self.in_flight.append((to, sender, reply))
 
     def introduce_relays(self):
         """Relays hear each other, as over their links."""
--- a/tests/unit/test_control_group.py
+++ b/tests/unit/test_control_group.py
@@ -1,4 +1,4 @@
-"""The replicated log under lost, late, doubled messages and dying members."""
+"""The control group under lost, late and duplicated messages and crashes."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -29,16 +29,16 @@
 
 
 def commit(group, proposal, command):
-    """Propose at the leader, as a client that asks until it is answered."""
+    """Propose at the leader and retry until there is a result."""
     for _ in range(60):
         leader = group.find_leader()
         if leader is not None:
             group.propose(leader, proposal, command)
         group.advance(0.1)
         group.deliver_all()
-        if proposal in group.answers:
-            return group.answers[proposal]
-    raise AssertionError("no answer")
+        if proposal in group.results:
+            return group.results[proposal]
+    raise AssertionError("no result")
 
 
 def test_group_forms_once_and_elects_one_leader():
@@ -48,7 +48,7 @@
     assert len({m.replica.members for m in group.members.values()}) == 1
 
 
-def test_group_is_not_founded_while_one_control_instance_is_missing():
+def test_group_is_not_formed_while_a_control_instance_is_missing():
     group = ControlGroup(NAMES)
     group.crash("c")
     for _ in range(40):
@@ -57,7 +57,7 @@
     assert all(m.replica.members is None for m in group.members.values())
 
 
-def test_change_resent_after_a_lost_answer_gets_the_first_answer():
+def test_resent_change_gets_the_result_of_the_first():
     group = build_group()
     assert commit(group, "p1", build_change(0, "x")) == Accepted(1)
     assert commit(group, "p2", build_change(1, "y")) == Accepted(2)
@@ -65,31 +65,31 @@
     assert group.members["a"].state.configuration.version == 2
 
 
-def test_of_two_operators_on_one_base_one_wins_and_the_other_is_told():
+def test_second_change_on_one_base_gets_a_conflict():
     group = build_group()
     commit(group, "p1", build_change(0, "x", "first"))
-    answer = commit(group, "p2", build_change(0, "y", "second"))
-    assert isinstance(answer, Conflict)
-    assert (answer.winner.change, answer.winner.operator) == ("x", "op")
+    result = commit(group, "p2", build_change(0, "y", "second"))
+    assert isinstance(result, Conflict)
+    assert (result.winner.change, result.winner.operator) == ("x", "op")
 
 
-def test_leader_cut_off_steps_down_and_commits_nothing():
+def test_isolated_leader_steps_down_and_commits_nothing():
     group = build_group()
-    old = group.find_leader()
-    group.cut.add(old)
-    group.propose(old, "lost", build_change(0, "lost"))
+    deposed = group.find_leader()
+    group.isolated.add(deposed)
+    group.propose(deposed, "lost", build_change(0, "lost"))
     for _ in range(30):
         group.advance(0.1)
         group.deliver_all()
-    assert not group.members[old].replica.is_leader
-    assert "lost" not in group.answers
+    assert not group.members[deposed].replica.is_leader
+    assert "lost" not in group.results
     assert commit(group, "won", build_change(0, "won")) == Accepted(1)
     group.settle()
     versions = {m.state.configuration.change for m in group.members.values()}
     assert versions == {"won"}
 
 
-def test_member_with_a_lost_disk_learns_then_votes_then_a_second_is_lost():
+def test_member_with_a_new_disk_becomes_a_voter_and_survives_another_loss():
     group = build_group()
     for number in range(30):
         commit(group, f"p{number}", build_change(number, f"c{number}"))
@@ -108,7 +108,7 @@
     assert member.state.configuration.version == 31
 
 
-def test_empty_disk_does_not_found_a_second_group():
+def test_empty_disk_does_not_form_a_second_group():
     group = build_group()
     commit(group, "p", build_change(0, "x"))
     for name in NAMES[1:]:
@@ -132,16 +132,16 @@
     assert member.replica.log.base_index > 1
 
 
-def test_planned_stop_hands_leadership_over_without_waiting_for_a_timeout():
+def test_planned_stop_transfers_leadership_without_a_timeout():
     group = build_group()
-    old = group.find_leader()
-    group.members[old].stop_leading(group.now)
-    group.pump(old)
+    deposed = group.find_leader()
+    group.members[deposed].stop_leading(group.now)
+    group.pump(deposed)
     group.deliver_all()
-    assert group.find_leader() not in (None, old)
+    assert group.find_leader() not in (None, deposed)
 
 
-def test_long_run_of_changes_with_restarts_between():
+def test_many_changes_survive_restarts():
     group = build_group(snapshot_entries=64)
     for number in range(3_000):
         leader = group.find_leader()
@@ -149,7 +149,7 @@
         group.propose(leader, proposal, build_change(number, f"c{number}"))
         group.advance(0.001)
         group.deliver_all()
-        if proposal not in group.answers:
+        if proposal not in group.results:
             assert commit(group, proposal, build_change(number, f"c{number}"))
         if number % 500 == 250:
             name = NAMES[number // 500 % 3]
@@ -161,15 +161,15 @@
     assert versions == {3_000}
 
 
-class ControlMachine(RuleBasedStateMachine):
-    """Any message lost, late or doubled, members dying between any two writes.
+class ControlGroupMachine(RuleBasedStateMachine):
+    """Messages are lost, delayed or duplicated; members crash between any two writes.
 
-    The oracle: one entry for each index and one leader for each term (checked in
-    the group), versions never fall, and what was answered is never undone.
+    Checked: one entry for each index and one leader for each term (in the group),
+    versions never decrease, and no acknowledged change is undone.
     """
 
     @initialize()
-    def begin(self):
+    def start_group(self):
         self.group = build_group()
         self.count = 0
         self.versions = {}
@@ -181,17 +181,17 @@
 
     @rule(position=st.integers(0, 60), keep=st.booleans())
     def deliver(self, position, keep):
-        if self.group.flights:
-            self.group.deliver(position % len(self.group.flights), keep=keep)
+        if self.group.in_flight:
+            self.group.deliver(position % len(self.group.in_flight), keep=keep)
 
     @rule()
-    def deliver_much(self):
+    def deliver_many(self):
         self.group.deliver_all(40)
 
     @rule(position=st.integers(0, 60))
-    def lose(self, position):
-        if self.group.flights:
-            del self.group.flights[position % len(self.group.flights)]
+    def lose_message(self, position):
+        if self.group.in_flight:
+            del self.group.in_flight[position % len(self.group.in_flight)]
 
     @rule(name=st.sampled_from(NAMES))
     def propose(self, name):
@@ -201,7 +201,7 @@
         self.group.propose(name, f"p{self.count}", command)
 
     @rule(name=st.sampled_from(NAMES), point=st.sampled_from([0, 1]))
-    def die_while_writing(self, name, point):
+    def crash_while_writing(self, name, point):
         if name in self.group.members:
             self.group.members[name].advance(self.group.now + 0.2)
             self.group.propose(name, "noise", Barrier())
@@ -216,19 +216,19 @@
             self.group.start(name)
 
     @rule(name=st.sampled_from(NAMES))
-    def cut_off(self, name):
-        self.group.cut = {name}
+    def isolate(self, name):
+        self.group.isolated = {name}
 
     @rule()
-    def heal(self):
-        self.group.cut = set()
+    def reconnect(self):
+        self.group.isolated = set()
 
     @precondition(lambda self: self.group.find_leader())
     @rule()
-    def read_answers(self):
-        for proposal, answer in self.group.answers.items():
-            if isinstance(answer, Accepted):
-                self.accepted[proposal] = answer.version
+    def record_accepted(self):
+        for proposal, result in self.group.results.items():
+            if isinstance(result, Accepted):
+                self.accepted[proposal] = result.version
 
     @invariant()
     def versions_never_fall(self):
@@ -244,31 +244,31 @@
         if not hasattr(self, "group"):
             return
         self.group.settle()
-        answered = {
-            proposal: answer.version
-            for proposal, answer in self.group.answers.items()
-            if isinstance(answer, Accepted)
+        acknowledged = {
+            proposal: result.version
+            for proposal, result in self.group.results.items()
+            if isinstance(result, Accepted)
         }
-        answered.update(self.accepted)
+        acknowledged.update(self.accepted)
         assert self.group.find_leader()
         newest = {m.state.configuration.version for m in self.members()}
         assert len(newest) == 1
-        changes = self.list_winners()
-        for proposal, version in answered.items():
+        changes = self.list_accepted_changes()
+        for proposal, version in acknowledged.items():
             assert changes[version - 1] == f"change-{proposal[1:]}"
         assert newest == {len(changes)}
 
-    def list_winners(self):
-        """The changes that won, by an oracle that only looks at the log's order."""
-        winners = []
+    def list_accepted_changes(self):
+        """Return the accepted changes, derived from the order of the log alone."""
+        accepted_changes = []
         for command in self.group.list_commands():
             if (
                 isinstance(command, ApplyConfiguration)
-                and command.change.change not in winners
+                and command.change.change not in accepted_changes
             ):
-                if command.change.base == len(winners):
-                    winners.append(command.change.change)
-        return winners
+                if command.change.base == len(accepted_changes):
+                    accepted_changes.append(command.change.change)
+        return accepted_changes
 
 
-TestControlMachine = ControlMachine.TestCase
+TestControlGroupMachine = ControlGroupMachine.TestCase
