--- a/src/scalebend/core/consensus/log.py
+++ b/src/scalebend/core/consensus/log.py
@@ -38,7 +38,7 @@
         return None
 
     def read(self, start: LogIndex, limit: int) -> list[LogEntry]:
-        """Up to ``most`` entries from ``start`` on."""
+        """Up to ``limit`` entries from ``start`` on."""
         position = max(0, start - self.base_index - 1)
         return self._entries[position : position + limit]
 
--- a/src/scalebend/core/consensus/progress.py
+++ b/src/scalebend/core/consensus/progress.py
@@ -12,7 +12,7 @@
 from scalebend.models.ids import LogIndex
 
 MAX_PENDING_ROUNDS = 64
-"""Unacknowledged appends whose send times are kept for each member."""
+"""Appends without a reply whose send times are kept for each member."""
 
 MAX_PROMOTION_LAG_ENTRIES = 16
 """Entries by which a learner may lag and still become a voter."""
@@ -21,7 +21,7 @@
 
 
 class _PendingRound(msgspec.Struct, frozen=True):
-    """An append that a member has not acknowledged, and when it was sent."""
+    """An append that a member has not replied to, and when it was sent."""
 
     round: int
     sent_at: float
@@ -30,7 +30,7 @@
 class Progress(msgspec.Struct):
     """How far one member's log is known to match the leader's; times in seconds.
 
-    ``confirmed_at`` is the *send* time of the newest append acknowledged in this term.
+    ``confirmed_at`` is the *send* time of the newest append replied to in this term.
     """
 
     next_index: LogIndex
@@ -54,8 +54,8 @@
         self.last_reply_at = now
         self.in_flight = False
 
-    def record_acknowledgement(self, number: int) -> None:
-        """Record that the member acknowledged this append and all before it."""
+    def record_round_reply(self, number: int) -> None:
+        """Record a reply to this append, which also counts for those before it."""
         while self.pending_rounds and self.pending_rounds[0].round <= number:
             self.confirmed_at = self.pending_rounds.popleft().sent_at
 
--- a/src/scalebend/core/consensus/replica.py
+++ b/src/scalebend/core/consensus/replica.py
@@ -2,7 +2,7 @@
 
 Implements Raft with pre-vote, check-quorum, learners and single-server membership
 changes. The class does no I/O: the caller passes in messages and the current time,
-then takes a :class:`Ready` and carries it out in the order that it prescribes.
+then takes a :class:`Ready` and carries it out in the order that it defines.
 """
 
 from __future__ import annotations
@@ -166,7 +166,7 @@
     def compute_confirmed_at(self, now: float) -> float | None:
         """Latest time at which this member was certainly the only leader.
 
-        A quorum acknowledged an append that was sent at that time in this term, so
+        A quorum replied to an append that was sent at that time in this term, so
         every entry committed earlier by another leader is in this log. ``None`` if
         this member is not leader or has applied no entry of its term.
         """
@@ -193,19 +193,19 @@
         """Shorten the election timeout if the instance behind the broken link leads."""
         if self.leader is None or self.is_leader or self.leader.instance != instance:
             return
-        # Allows votes for other candidates until the leader is heard again.
+        # Allows votes for other candidates until the leader sends a message.
         self._leader_heard_at = -math.inf
         suspected = now + LINK_LOSS_TIMEOUT_S * self._random.uniform(1.0, 2.0)
         self._election_deadline = min(self._election_deadline, suspected)
 
     def list_unresponsive(self, timeout: float, now: float) -> list[Member]:
         """As leader, members without a reply for ``timeout`` seconds, longest first."""
-        silent = [
+        unresponsive = [
             (progress.last_reply_at, member)
             for member, progress in self._progress.items()
             if now - progress.last_reply_at > timeout
         ]
-        return [member for _, member in sorted(silent)]
+        return [member for _, member in sorted(unresponsive)]
 
     def transfer_leadership(self, now: float) -> Member | None:
         """Ask the voter with the most complete log to take over; return it."""
@@ -489,7 +489,7 @@
         if not self.is_leader or progress is None or reply.term < self.term:
             return
         progress.record_reply(now)
-        progress.record_acknowledgement(reply.round)
+        progress.record_round_reply(reply.round)
         if reply.is_accepted:
             progress.record_match(reply.index)
             self._advance_commit()
@@ -520,13 +520,13 @@
         assert self._members is not None
         indexes = {m: progress.match_index for m, progress in self._progress.items()}
         indexes[self.me] = self._durable_index
-        held = find_quorum_value(indexes, self._members)
+        quorum_index = find_quorum_value(indexes, self._members)
         # Entries of earlier terms are committed only together with one of this term.
         # Terms in a log never decrease, so checking the newest replicated entry is
         # enough.
-        if held is not None and held > self.commit_index:
-            if self.log.get_term(held) == self.term:
-                self.commit_index = held
+        if quorum_index is not None and quorum_index > self.commit_index:
+            if self.log.get_term(quorum_index) == self.term:
+                self.commit_index = quorum_index
 
     def _append_to_log(self, entry: LogEntry) -> LogIndex:
         self.log.append(entry)
--- a/tests/lib/control_group.py
+++ b/tests/lib/control_group.py
@@ -168,8 +168,8 @@
             self.members[name].advance(self.now)
             self.pump(name)
 
-    def deliver_all(self, most=5_000):
-        for _ in range(most):
+    def deliver_all(self, limit=5_000):
+        for _ in range(limit):
             if not self.in_flight:
                 return
             self.deliver(0)
