--- a/src/scalebend/core/consensus/progress.py
+++ b/src/scalebend/core/consensus/progress.py
@@ -39,7 +39,7 @@
     last_sent_at: float = 0.0
     pending_rounds: deque[_PendingRound] = msgspec.field(default_factory=deque)
     confirmed_at: float = -1e9
-    in_flight: bool = False
+    is_awaiting_reply: bool = False
     snapshot_offset: int | None = None
     """Bytes of the snapshot that the member has; ``None`` when none is being sent."""
 
@@ -52,7 +52,7 @@
     def record_reply(self, now: float) -> None:
         """Record that the member replied to any message."""
         self.last_reply_at = now
-        self.in_flight = False
+        self.is_awaiting_reply = False
 
     def record_round_reply(self, number: int) -> None:
         """Record a reply to this append, which also counts for those before it."""
--- a/src/scalebend/core/consensus/replica.py
+++ b/src/scalebend/core/consensus/replica.py
@@ -97,13 +97,13 @@
         self._progress: dict[Member, Progress] = {}
         self._votes: set[Member] = set()
         self._round = 0
-        self._leader_heard_at = -1e9
+        self._leader_contact_at = -1e9
         self._has_known_leader = False
         self._election_deadline = 0.0
         self._incoming_state = bytearray()
         self._incoming_index = LogIndex(0)
         self._outbox: list[Outgoing] = []
-        self._hard_state_changed = False
+        self._is_hard_state_dirty = False
         self._truncate_from: LogIndex | None = None
         self._received_snapshot: Snapshot | None = None
         self._last_now = now
@@ -194,7 +194,7 @@
         if self.leader is None or self.is_leader or self.leader.instance != instance:
             return
         # Allows votes for other candidates until the leader sends a message.
-        self._leader_heard_at = -math.inf
+        self._leader_contact_at = -math.inf
         suspected = now + LINK_LOSS_TIMEOUT_S * self._random.uniform(1.0, 2.0)
         self._election_deadline = min(self._election_deadline, suspected)
 
@@ -260,7 +260,7 @@
         """Return the pending work; call :meth:`confirm` once it is carried out."""
         entries = self.log.read(LogIndex(self._durable_index + 1), len(self.log))
         persist = None
-        if self._hard_state_changed or entries or self._truncate_from is not None:
+        if self._is_hard_state_dirty or entries or self._truncate_from is not None:
             persist = Persist(self.read_hard_state(), self._truncate_from, entries)
         committed = []
         if self.commit_index > self._applied_index:
@@ -269,7 +269,7 @@
         ready = Ready(persist, self._received_snapshot, self._outbox, committed)
         self._outbox = []
         self._received_snapshot = None
-        self._hard_state_changed = False
+        self._is_hard_state_dirty = False
         self._truncate_from = None
         return ready
 
@@ -343,7 +343,9 @@
     def _handle_vote_request(self, request: VoteRequest, now: float) -> None:
         # Ignores elections while a leader is known, so that a member which returns
         # from a partition cannot raise the term and depose the leader.
-        has_leader = self.is_leader or now - self._leader_heard_at < ELECTION_TIMEOUT_S
+        has_leader = (
+            self.is_leader or now - self._leader_contact_at < ELECTION_TIMEOUT_S
+        )
         if has_leader and not request.is_transfer and request.term > self.term:
             self._reply_vote(request, is_granted=False)
             return
@@ -356,7 +358,7 @@
         is_granted = is_current and is_vote_free and self._is_up_to_date(request)
         if is_granted and not request.is_pre_vote:
             self._voted_for = request.sender
-            self._hard_state_changed = True
+            self._is_hard_state_dirty = True
             self._reset_election_deadline(now)
         self._reply_vote(request, is_granted=is_granted)
 
@@ -402,7 +404,7 @@
     def _set_term(self, term: Term, voted_for: Member | None) -> None:
         self.term = term
         self._voted_for = voted_for
-        self._hard_state_changed = True
+        self._is_hard_state_dirty = True
 
     def _reset_election_deadline(self, now: float) -> None:
         if self._members is not None and self._members.voters == {self.me}:
@@ -436,12 +438,12 @@
         for member, progress in self._progress.items():
             is_due = now - progress.last_sent_at >= HEARTBEAT_INTERVAL_S
             has_entries = progress.next_index <= self.log.last_index
-            if is_due or (has_entries and not progress.in_flight):
+            if is_due or (has_entries and not progress.is_awaiting_reply):
                 self._replicate(member, progress, now)
 
     def _replicate(self, member: Member, progress: Progress, now: float) -> None:
         progress.last_sent_at = now
-        progress.in_flight = True
+        progress.is_awaiting_reply = True
         previous = LogIndex(progress.next_index - 1)
         previous_term = self.log.get_term(previous)
         if previous_term is None:
@@ -596,7 +598,7 @@
     def _follow_leader(self, leader: Member, term: Term, now: float) -> None:
         self._has_known_leader = True
         self._become_follower(term, leader, now)
-        self._leader_heard_at = now
+        self._leader_contact_at = now
 
     def _reply_append(
         self, message: Append, *, is_accepted: bool, index: LogIndex
--- a/src/scalebend/core/control_member.py
+++ b/src/scalebend/core/control_member.py
@@ -152,7 +152,7 @@
             case HelloReply():
                 self._hellos[sender] = message
                 self.record_control_instances(message.instances)
-                self._try_to_found()
+                self._try_to_form_group()
             case RelayReply(instances, founder):
                 self._handle_relay_reply(sender, instances, founder)
             case Found(members):
@@ -274,12 +274,12 @@
         for peer in self._peers:
             self._send(peer, Hello(self.me, self._has_group))
         if not self._peers:
-            self._try_to_found()
+            self._try_to_form_group()
         if any(reply.has_group for reply in self._hellos.values()):
             for peer in self._peers:
                 self._send(peer, Join(self.me))
 
-    def _try_to_found(self) -> None:
+    def _try_to_form_group(self) -> None:
         if self._has_group or not self._may_found:
             return
         if not self._founders <= set(self._hellos) | self._relays:
@@ -292,9 +292,9 @@
             for peer in founders
         ):
             return
-        self._found({self._hellos[peer].member for peer in founders} | {self.me})
+        self._form_group({self._hellos[peer].member for peer in founders} | {self.me})
 
-    def _found(self, voters: set[Member]) -> None:
+    def _form_group(self, voters: set[Member]) -> None:
         members = Members(frozenset(voters))
         self.replica.form_group(members)
         logger.info("control group founded", voters=sorted(m.instance for m in voters))
@@ -310,9 +310,9 @@
         is_unformed = not any(reply.has_group for reply in self._hellos.values())
         if is_named and is_unformed and not self._has_group:
             # A relay names only one founder; the other instances join its group.
-            self._found({self.me})
+            self._form_group({self.me})
             return
-        self._try_to_found()
+        self._try_to_form_group()
 
     def _add_learner(self, member: Member, now: float) -> None:
         members = self.replica.members
