--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from scalebend.core.control_state import PutRouting, RoutingHeld
+from scalebend.core.control_state import PutRouting, RoutingResult
 from scalebend.core.gateway.link_history import MAX_STARTS, WINDOW_S, LinkHistory
 from scalebend.core.gateway.messages import ControlStatus, Introduce, KnownInstances
 from scalebend.core.gateway.relay_instance import RelayInstance
@@ -53,18 +53,18 @@
 
     def start(self, name):
         super().start(name)
-        self.members[name]._may_be_named = self.is_first_start
+        self.members[name]._may_be_sole_founder = self.is_first_start
 
     def deliver(self, position, *, keep=False):
-        sender, to, message = self.flights[position]
+        sender, to, message = self.in_flight[position]
         if to not in self.relays:
             super().deliver(position, keep=keep)
             return
         if not keep:
-            del self.flights[position]
-        if isinstance(message, Hello) and not {sender, to} & self.cut:
+            del self.in_flight[position]
+        if isinstance(message, Hello) and not {sender, to} & self.isolated:
             reply = self.relays[to].answer_hello(sender, message)
-            self.flights.append((to, sender, reply))
+            self.in_flight.append((to, sender, reply))
 
     def introduce_relays(self):
         """Relays hear each other, as over their links."""
@@ -81,7 +81,7 @@
 
 def put(group, version):
     stored = pack_routing(build_routing(version), f"{version}".encode())
-    assert commit(group, f"put-{version}", PutRouting(stored)) == RoutingHeld(version)
+    assert commit(group, f"put-{version}", PutRouting(stored)) == RoutingResult(version)
 
 
 @pytest.mark.parametrize(
