--- a/src/scalebend/core/__init__.py
+++ b/src/scalebend/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without I/O: typed message and present time in, actions out."""
+"""Decision logic without I/O: takes messages and the current time, returns actions."""
--- a/src/scalebend/core/crash_ledger.py
+++ b/src/scalebend/core/crash_ledger.py
@@ -1,15 +1,15 @@
-"""Requests under which upstreams ended, so that one does not end them all.
-
-A request that ends each upstream that begins it looks like any other when it comes:
-only what became of its earlier arrivals tells, wherever they came. So every process
-keeps, by fingerprint, which upstreams ended while they ran a request, and processes
-tell each other. At :data:`MOST_ENDED` the request is held back everywhere: it is
-refused before it is sent, for longer each time that it ends another one.
-
-Who else ran on an upstream that ended is blamed like the cause. That is no harm by
-itself: a whole answer of any upstream clears a request, and the cause never gets one. A
-request that was answered a moment ago is not blamed at all: callers that ask the same
-thing all the time would be held back when their whole service fails at once.
+"""Quarantine of requests that repeatedly crash upstreams.
+
+A request that crashes every upstream it is sent to can be recognized only by the fate
+of its earlier attempts, at any process. So every process records, by fingerprint, which
+upstreams crashed while they ran a request, and processes exchange these records. After
+:data:`CRASHES_UNTIL_QUARANTINE` crashes the request is quarantined everywhere: it is
+rejected before it is sent, for longer after each further crash.
+
+All requests that ran on a crashed upstream become suspect, not only the cause. A
+complete response of any upstream clears a request, which the cause never gets. A
+request with a recent complete response does not become suspect at all; otherwise the
+failure of a whole service would quarantine requests that callers send all the time.
 """
 
 from __future__ import annotations
@@ -25,77 +25,80 @@
 
 logger = structlog.get_logger(__name__)
 
-MOST_ENDED = 3
-"""Upstreams that one request may end before it is held back. Where a third of a service
-goes within seconds, for whatever reason, a request meets two of them by chance one time
-in nine and three one time in 27: it would be refused an attempt that might succeed."""
+CRASHES_UNTIL_QUARANTINE = 3
+"""Crashed upstreams after which a request is quarantined. Fewer would quarantine
+unrelated requests when a large share of a service crashes within seconds."""
 
-FIRST_HOLD = 600.0
-LONGEST_HOLD = 86_400.0
-"""Seconds for which a request is held back, twice as long for each further upstream
-that it ends: three more within the first 70 minutes, and yet a repaired version of the
-upstream is tried without an operator."""
+FIRST_QUARANTINE_S = 600.0
+LONGEST_QUARANTINE_S = 86_400.0
+"""Length of a quarantine, which doubles with each further crash up to the longest. It
+ends by itself, so that a repaired upstream gets the request without an operator."""
 
-REMEMBERED = 1800.0
-"""Seconds for which blame that does not grow is kept, or outlasts a hold."""
+RECORD_RETENTION_S = 1800.0
+"""How long a record is kept after its last crash or the end of its quarantine."""
 
-MOST_RECORDS = 4096
-"""Requests kept at most, of some 400 bytes each: a crash blames as many as the upstream
-ran, and nothing that callers send may fill a process. The least blamed go first."""
+MAX_RECORDS = 4096
+"""Maximum number of records, of some 400 bytes each, so that callers cannot exhaust the
+memory of a process. Records of a single crash are evicted first."""
 
-MOST_NAMED = 16
-"""Upstreams named for one request: with so many the longest hold applies."""
+MAX_UPSTREAMS_PER_RECORD = 16
+"""Maximum number of upstreams in a record; enough for the longest quarantine."""
 
-ANSWERED_MEMORY = 60.0
-MOST_ANSWERED = 4096
-"""Seconds for which an answer speaks for a request, and requests kept for that: those
-that are asked all the time come again within seconds."""
+SUCCESS_RETENTION_S = 60.0
+MAX_SUCCESSES = 4096
+"""How long a complete response keeps a request from becoming suspect, and how many such
+requests are kept. Requests that are sent all the time recur within seconds."""
 
 
 class _Record(msgspec.Struct):
     ended: dict[UpstreamId, None]
-    grown_at: float
-    held_until: float = -math.inf
-    is_own: bool = False
-    """Whether this process saw one of the upstreams end."""
+    updated_at: float
+    quarantined_until: float = -math.inf
+    is_observed_here: bool = False
+    """Whether this process observed one of the crashes."""
 
-    def grow(self, ended: Iterable[UpstreamId], now: float) -> bool:
-        """Add upstreams that ended; whether any was new."""
+    def add_upstreams(self, ended: Iterable[UpstreamId], now: float) -> bool:
+        """Add crashed upstreams; return whether any of them is new."""
         before = len(self.ended)
         for upstream in ended:
-            if len(self.ended) < MOST_NAMED:
+            if len(self.ended) < MAX_UPSTREAMS_PER_RECORD:
                 self.ended[upstream] = None
         if len(self.ended) == before:
             return False
-        self.grown_at = now
-        beyond = len(self.ended) - MOST_ENDED
+        self.updated_at = now
+        beyond = len(self.ended) - CRASHES_UNTIL_QUARANTINE
         if beyond >= 0:
-            self.held_until = now + min(LONGEST_HOLD, FIRST_HOLD * 2.0**beyond)
+            self.quarantined_until = now + min(
+                LONGEST_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0**beyond
+            )
         return True
 
 
 class CrashLedger:
-    """What one process knows of requests that may end upstreams."""
+    """The suspect requests known to one process."""
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
-        self._answered: dict[Fingerprint, float] = {}
+        self._succeeded_at: dict[Fingerprint, float] = {}
         self.changes = 0
-        """Counts changes, for whoever stores the records."""
+        """Number of changes so far; a new value outdates stored copies."""
 
-    # What was seen here
+    # Local observations
 
-    def note_lost(
+    def record_crash(
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> CrashRecord | None:
-        """An upstream ended or cut the request off; return what is to be told."""
-        answered_at = self._answered.get(fingerprint, -math.inf)
-        if now - answered_at < ANSWERED_MEMORY:
+        """Record that an upstream crashed or broke the connection during the request.
+
+        Returns the record to publish if it changed.
+        """
+        answered_at = self._succeeded_at.get(fingerprint, -math.inf)
+        if now - answered_at < SUCCESS_RETENTION_S:
             return None
-        if not self._grow(fingerprint, [upstream], now):
+        if not self._update_record(fingerprint, [upstream], now):
             return None
         record = self._records[fingerprint]
-        record.is_own = True
+        record.is_observed_here = True
         logger.info(
             "request lost with its upstream",
             fingerprint=fingerprint,
@@ -104,28 +107,28 @@
         )
         return CrashRecord(fingerprint, tuple(record.ended))
 
-    def note_answered(self, fingerprint: Fingerprint, now: float) -> bool:
-        """An upstream answered it whole; whether the request was blamed until now."""
-        self._answered.pop(fingerprint, None)
-        self._answered[fingerprint] = now
-        if len(self._answered) > MOST_ANSWERED:
-            del self._answered[next(iter(self._answered))]
+    def record_response(self, fingerprint: Fingerprint, now: float) -> bool:
+        """Record a complete response; return whether the request was suspect."""
+        self._succeeded_at.pop(fingerprint, None)
+        self._succeeded_at[fingerprint] = now
+        if len(self._succeeded_at) > MAX_SUCCESSES:
+            del self._succeeded_at[next(iter(self._succeeded_at))]
         return bool(self.clear([fingerprint]))
 
-    # What other processes tell
+    # Updates of other processes
 
     def merge(self, records: Iterable[CrashRecord], now: float) -> list[CrashRecord]:
-        """Take what another process knows; return what is new here, whole."""
+        """Merge records of another process; return in full those that changed."""
         return [
             CrashRecord(one.fingerprint, tuple(self._records[one.fingerprint].ended))
             for one in records
-            if self._grow(one.fingerprint, one.ended, now)
+            if self._update_record(one.fingerprint, one.ended, now)
         ]
 
     def clear(self, fingerprints: Iterable[Fingerprint]) -> list[Fingerprint]:
-        """An upstream answered these whole; return those that were blamed here.
+        """Clear requests that got a complete response; return those that were suspect.
 
-        Who does not hear of it may tell of the blame again, until it expires there.
+        A process that misses the update may publish its record again until it expires.
         """
         cleared = [one for one in fingerprints if one in self._records]
         for fingerprint in cleared:
@@ -137,68 +140,70 @@
     # Decisions
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Whether an upstream ended under it and none has answered it since."""
+        """Whether an upstream crashed during it and none has responded since."""
         return fingerprint in self._records
 
-    def compute_hold(self, fingerprint: Fingerprint, now: float) -> float:
-        """Seconds for which the request must not be sent; 0 if it may be."""
+    def compute_quarantine(self, fingerprint: Fingerprint, now: float) -> float:
+        """Return the seconds of quarantine left; 0 if the request may be sent."""
         record = self._records.get(fingerprint)
-        return max(0.0, record.held_until - now) if record is not None else 0.0
+        return max(0.0, record.quarantined_until - now) if record is not None else 0.0
 
     # Records
 
     def list_records(self) -> list[CrashRecord]:
-        """All that is known, for a process that knows nothing yet."""
+        """List all records, for a process that has none yet."""
         return [
             CrashRecord(fingerprint, tuple(record.ended))
             for fingerprint, record in self._records.items()
         ]
 
-    def list_to_tell(self, now: float) -> list[CrashRecord]:
-        """What a new leader may not know: what was seen here, and all that is held.
+    def list_to_publish(self, now: float) -> list[CrashRecord]:
+        """List the records that a new leader may lack.
 
-        Others tell of what they saw: so blame is told once, and not by every process.
+        These are the crashes observed here and all quarantines; other crashes are
+        published by the processes that observed them.
         """
         return [
             CrashRecord(fingerprint, tuple(record.ended))
             for fingerprint, record in self._records.items()
-            if record.is_own or now < record.held_until
+            if record.is_observed_here or now < record.quarantined_until
         ]
 
     def expire(self, now: float) -> None:
-        """Forget what did not happen again."""
+        """Remove records without recent crashes."""
         old = [
             fingerprint
             for fingerprint, record in self._records.items()
-            if now - max(record.grown_at, record.held_until) >= REMEMBERED
+            if now - max(record.updated_at, record.quarantined_until)
+            >= RECORD_RETENTION_S
         ]
         for fingerprint in old:
             del self._records[fingerprint]
         self.changes += len(old)
 
-    def _grow(
+    def _update_record(
         self, fingerprint: Fingerprint, ended: Iterable[UpstreamId], now: float
     ) -> bool:
         record = self._records.get(fingerprint)
         if record is None:
-            self._make_room()
+            self._evict_if_full()
             record = self._records[fingerprint] = _Record({}, now)
-        was_held = now < record.held_until
-        if not record.grow(ended, now):
+        was_quarantined = now < record.quarantined_until
+        if not record.add_upstreams(ended, now):
             return False
         self.changes += 1
-        if now < record.held_until and not was_held:
+        if now < record.quarantined_until and not was_quarantined:
             logger.warning(
                 "request held back",
                 fingerprint=fingerprint,
                 ended=list(record.ended),
-                seconds=round(record.held_until - now),
+                seconds=round(record.quarantined_until - now),
             )
         return True
 
-    def _make_room(self) -> None:
-        """If there are too many, forget the oldest that ended only one upstream."""
-        if len(self._records) < MOST_RECORDS:
+    def _evict_if_full(self) -> None:
+        """If the ledger is full, remove the oldest record with only one crash."""
+        if len(self._records) < MAX_RECORDS:
             return
         for fingerprint, record in self._records.items():
             if len(record.ended) == 1:
--- a/src/scalebend/core/crash_watch.py
+++ b/src/scalebend/core/crash_watch.py
@@ -1,4 +1,4 @@
-"""What an entry does about requests that end upstreams: note, tell, hold back."""
+"""Records, reports and quarantines requests that crash upstreams, for one entry."""
 
 from __future__ import annotations
 
@@ -10,48 +10,51 @@
 
 
 class CrashWatch:
-    """The ledger of one entry, and what the other instances are to be told."""
+    """The crash ledger of one entry, and the updates for other instances."""
 
     def __init__(self) -> None:
         self.ledger = CrashLedger()
-        self._news: list[CrashRecord] = []
+        self._updates: list[CrashRecord] = []
 
-    def take_news(self) -> list[CrashRecord]:
-        """What was seen here since the last call; none named: it was answered."""
-        news, self._news = self._news, []
-        return news
+    def take_updates(self) -> list[CrashRecord]:
+        """Take the local updates since the last call.
 
-    def find_hold(self, request: Request, now: float) -> RefusedError | None:
-        """How a request that must not be sent is refused; ``None`` if it may be."""
+        A record without upstreams clears its request.
+        """
+        updates, self._updates = self._updates, []
+        return updates
+
+    def find_quarantine(self, request: Request, now: float) -> RefusedError | None:
+        """Return the rejection of a quarantined request; ``None`` if it may be sent."""
         if request.content is None:
             return None
-        hold = self.ledger.compute_hold(request.content, now)
-        if hold <= 0.0:
+        quarantine = self.ledger.compute_quarantine(request.content, now)
+        if quarantine <= 0.0:
             return None
         return RefusedError(
             "upstreams ended while they ran this request",
             kind=ErrorKind.ENDS_UPSTREAMS,
-            retry_after=hold,
+            retry_after=quarantine,
         )
 
-    def note_lost(
+    def record_crash(
         self,
         request: Request,
         upstream: UpstreamId,
         incarnation: Incarnation | None,
         now: float,
     ) -> None:
-        """An upstream ended, or cut the request off, while it ran it."""
+        """Record that a request ended by a crash or a broken connection."""
         if request.content is None:
             return
-        # Upstreams keep their name when they start again.
+        # A restarted upstream keeps its id, but its crash counts separately.
         ended = UpstreamId(f"{upstream}/{incarnation}")
-        record = self.ledger.note_lost(request.content, ended, now)
+        record = self.ledger.record_crash(request.content, ended, now)
         if record is not None:
-            self._news.append(record)
+            self._updates.append(record)
 
-    def note_answered(self, request: Request, now: float) -> None:
-        """An upstream gave a whole answer."""
+    def record_response(self, request: Request, now: float) -> None:
+        """Record a complete response of an upstream."""
         content = request.content
-        if content is not None and self.ledger.note_answered(content, now):
-            self._news.append(CrashRecord(content, ()))
+        if content is not None and self.ledger.record_response(content, now):
+            self._updates.append(CrashRecord(content, ()))
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -214,7 +214,7 @@
             case Completed():
                 self.placement.outliers.record_success(lead)
                 self._learn(flow)
-                self.crashes.note_answered(flow.request, now)
+                self.crashes.record_response(flow.request, now)
                 return self._conclude(flow, None, result.output_tokens)
             case NeverStarted(detail) if flow.attempt.part is Part.DECODE:
                 self._record_failure(lead, now)
@@ -323,7 +323,7 @@
 
     def _route(self, flow: Flow, now: float) -> list[EntryAction]:
         request = flow.request
-        held = self.crashes.find_hold(request, now)
+        held = self.crashes.find_quarantine(request, now)
         if held is not None:
             return self._conclude(flow, flow.last_error or held)
         self._attempt_count += 1
@@ -348,7 +348,7 @@
     def _start(self, flow: Flow, now: float) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
-        held = self.crashes.find_hold(flow.request, now)
+        held = self.crashes.find_quarantine(flow.request, now)
         if held is not None:
             # It became known while the request waited for its grant.
             return self._conclude(flow, flow.last_error or held)
@@ -456,7 +456,7 @@
         self._record_failure(attempt.lead, now)
         if broken.may_have_ended:
             lead, incarnation = attempt.lead, attempt.incarnation
-            self.crashes.note_lost(flow.request, lead, incarnation, now)
+            self.crashes.record_crash(flow.request, lead, incarnation, now)
         error = UpstreamError(broken.detail)
         return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
 
--- a/src/scalebend/core/fingerprints.py
+++ b/src/scalebend/core/fingerprints.py
@@ -1,8 +1,7 @@
-"""What two arrivals of the same request have in common, however they were sent.
+"""Fingerprints, which identify repeated requests across attempts and processes.
 
-Callers give each attempt an id of its own, and send it to any process. What a request
-does to whoever runs it follows from its content and from who sent it, so these name it
-in log lines and wherever processes tell each other of it.
+Callers use a new id for each attempt and send it to any process. So log lines and
+messages between processes identify a request by its customer and content.
 """
 
 from __future__ import annotations
@@ -12,21 +11,20 @@
 from scalebend.models.ids import CustomerId, Fingerprint
 
 _DIGEST_BYTES = 12
-"""96 bits: two of a million different requests meet once in 10^17 fleets, and nobody
-finds another request with the fingerprint of a given one."""
+"""96 bits, which make accidental collisions negligible and a second request with the
+fingerprint of a given one infeasible to find."""
 
 
 def compute_fingerprint(
     customer: CustomerId | None, method: str, host: str, target: str, body: bytes
 ) -> Fingerprint:
-    """Name a request by its content; ``target`` is path and query as received.
+    """Compute the fingerprint of a request, in hexadecimal digits.
 
-    It costs two microseconds, and 0.9 for each kilobyte of the body, where the
-    processor has instructions for this hash; others of the library take twice that.
+    ``target`` is path and query as received. The cost grows with the size of the body.
     """
     digest = hashlib.sha256()
     for part in (customer or "", method, host.lower(), target):
-        # Lengths keep parts apart, whatever they contain.
+        # Length prefixes make the concatenation of the parts unambiguous.
         encoded = part.encode(errors="surrogateescape")
         digest.update(len(encoded).to_bytes(4, "big"))
         digest.update(encoded)
--- a/src/scalebend/core/gateway/__init__.py
+++ b/src/scalebend/core/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of fronts and control instances on routed requests, without I/O."""
+"""Decision logic of fronts, control instances and relays, without I/O."""
--- a/src/scalebend/core/gateway/control_actions.py
+++ b/src/scalebend/core/gateway/control_actions.py
@@ -1,4 +1,4 @@
-"""What a control instance asks its runtime to carry out."""
+"""Actions that a control instance returns for its runtime to execute."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class ProposalEnded(msgspec.Struct, frozen=True):
-    """Action: a routing document was decided on; ``held`` is the version in force.
+    """Action: the proposal of a routing document ended.
 
-    ``None`` when this member stopped leading before it was known.
+    ``held`` is the version in force, or ``None`` if this member lost the leadership
+    before the result was known.
     """
 
     proposal: str
@@ -27,7 +28,7 @@
 
 
 class ReadConfirmed(msgspec.Struct, frozen=True):
-    """Action: the routing document held is the newest; answer these readers."""
+    """Action: the routing document is confirmed as the newest for these readers."""
 
     readers: list[int]
 
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -1,8 +1,8 @@
-"""One control instance of the gateway: its vote, the upstreams, and its fronts.
+"""One control instance: replicated log member, upstream directory, linked fronts.
 
-Every control instance takes registrations and passes them on to the others; each
-pushes changes to all fronts that are linked to it. The leader of the replicated log
-also confirms the routing document's freshness and places work on engines.
+Every control instance accepts registrations, forwards them to the other control
+instances, and pushes changes to the fronts linked to it. The leader of the replicated
+log also confirms that the routing document is the newest and places work on engines.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from scalebend.core.consensus.messages import ConsensusMessage, Ready
 from scalebend.core.control_member import ControlMember, ToInstance
 from scalebend.core.control_state import PutRouting, RoutingHeld, encode_command
-from scalebend.core.gateway.catalogue_push import CataloguePush
+from scalebend.core.gateway.catalog_push import CatalogPush
 from scalebend.core.gateway.control_actions import (
     ControlAction,
     ProposalEnded,
@@ -23,7 +23,7 @@
 from scalebend.core.gateway.ejection_push import EjectionPush
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
-from scalebend.core.gateway.freshness import FreshnessQuestion, FreshnessQuestions
+from scalebend.core.gateway.freshness import FreshnessRequest, PendingFreshnessRequests
 from scalebend.core.gateway.leader_placement import LeaderPlacement
 from scalebend.core.gateway.limit_exchange import GRANT_LIFE, LimitExchange
 from scalebend.core.gateway.messages import (
@@ -53,7 +53,7 @@
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_push import RoutingPush
 from scalebend.core.gateway.routing_store import unpack_routing
-from scalebend.core.gateway.upstream_exchange import UpstreamExchange, UpstreamNews
+from scalebend.core.gateway.upstream_exchange import UpstreamExchange, UpstreamUpdates
 from scalebend.core.messages import (
     Found,
     Hello,
@@ -81,18 +81,18 @@
 
 logger = structlog.get_logger(__name__)
 
-NEWS_PERIOD = 0.5
-"""Seconds between two heartbeats to a front; see ``edges/gateway/links.py``."""
+HEARTBEAT_INTERVAL_S = 0.5
+"""Interval of heartbeats to fronts and relays; see ``edges/gateway/links.py``."""
 
-EXPIRE_PERIOD = 0.5
-"""Seconds between two searches for upstreams that fell silent."""
+EXPIRY_INTERVAL_S = 0.5
+"""Interval of checks for upstreams whose registrations stopped."""
 
-SUMMARY_PERIOD = 1.0
-"""Seconds between two log lines on what the leader believes of the engines."""
+SUMMARY_INTERVAL_S = 1.0
+"""Interval of log lines with the leader's view of the engines."""
 
-BUSY_TOLD = 64
-"""Busy replicas told to each front with a heartbeat: 30 bytes each, so 4 KB a second
-whatever the size of the fleet. Those that are not told of look idle."""
+MAX_BUSY_REPLICAS = 64
+"""Busy replicas listed in a heartbeat, which bounds its size for any fleet. Fronts
+take replicas that are not listed for idle."""
 
 
 class ControlInstance:
@@ -112,10 +112,10 @@
         self.table = RouteTable(EMPTY_ROUTING)
         self._fronts: dict[InstanceId, None] = {}
         self._documents = RoutingPush()
-        self._catalogues = CataloguePush()
+        self._catalogs = CatalogPush()
         self._relays: set[InstanceId] = set()
-        self._questions = FreshnessQuestions()
-        self._news_at = now
+        self._freshness_requests = PendingFreshnessRequests()
+        self._heartbeat_at = now
         self._summary_at = now
         self._expire_at = now
         self._leader: InstanceId | None = None
@@ -126,12 +126,12 @@
 
     @property
     def me(self) -> InstanceId:
-        """This instance."""
+        """The id of this instance."""
         return self.member.me.instance
 
     @property
     def directory(self) -> EndpointDirectory:
-        """The upstreams that this instance knows."""
+        """The upstreams known to this instance."""
         return self.upstreams.directory
 
     @property
@@ -149,12 +149,12 @@
     def handle_peer(
         self, sender: InstanceId, message: LinkMessage, now: float, at: float
     ) -> list[ControlAction]:
-        """Take a message of another control instance; ``at`` is the wall clock."""
+        """Handle a message of another control instance; ``at`` is the wall clock."""
         match message:
-            case Registrations(news):
-                return self._tell_upstreams(self.upstreams.merge(news, now))
+            case Registrations(updates):
+                return self._send_updates(self.upstreams.merge(updates, now))
             case CrashNews():
-                self.crashes.take_from_peer(message, now)
+                self.crashes.receive_from_peer(message, now)
             case Hello() | HelloReply() | RelayReply() | Found() | Join():
                 self.member.handle(sender, message, now, at)
             case KnownInstances(instances):
@@ -164,11 +164,11 @@
         return []
 
     def finish(self, ready: Ready, now: float) -> list[ControlAction]:
-        """The writes of ``ready`` are durable; return what follows."""
+        """Continue after the writes of ``ready`` became durable."""
         actions: list[ControlAction] = []
         for action in self.member.finish(ready, now):
             if isinstance(action.message, ProposalAnswer):
-                actions.append(_read_answer(action.message))
+                actions.append(_read_proposal_reply(action.message))
             else:
                 actions.append(action)
         stored = self.member.state.routing
@@ -179,49 +179,55 @@
         return actions
 
     def advance(self, now: float) -> list[ControlAction]:
-        """Act on time."""
+        """Do all periodic work that is due."""
         self.member.advance(now)
         actions: list[ControlAction] = []
-        self._note_leadership(now)
-        if self.member.leader != self._leader or now >= self._news_at:
+        self._update_leadership(now)
+        if self.member.leader != self._leader or now >= self._heartbeat_at:
             self._leader = self.member.leader
-            self._news_at = now + NEWS_PERIOD
-            news = self._build_news(now)
-            actions += [ToFront(one, news) for one in (*self._fronts, *self._relays)]
+            self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
+            heartbeat = self._build_heartbeat(now)
+            actions += [
+                ToFront(one, heartbeat) for one in (*self._fronts, *self._relays)
+            ]
             self.scheduler.expire(now)
             self._ejections.expire(now)
             self.crashes.ledger.expire(now)
             self.limits.expire(now)
         if self.is_leader and now >= self._summary_at:
-            self._summary_at = now + SUMMARY_PERIOD
+            self._summary_at = now + SUMMARY_INTERVAL_S
             self.placement.log_summary(len(self._fronts), now)
             known = self.directory.list_ids()
             self.scheduler.retain(known)
             self.limits.retain(known, now)
         actions += self._documents.advance(now)
-        actions += self._send_catalogues(now)
+        actions += self._send_catalogs(now)
         actions += self._publish_ejected(now)
-        actions += self._answer_questions(now)
+        actions += self._reply_to_freshness_requests(now)
         if now >= self._expire_at and self.member.leader is not None:
-            # A member out of touch with the group may be the one that is cut off.
-            self._expire_at = now + EXPIRE_PERIOD
-            actions += self._tell_upstreams(self.upstreams.expire(now))
-        actions += self._tell_upstreams(self.upstreams.take_due(now))
+            # Without a leader, this member itself may be the partitioned one, so that
+            # missing registrations say nothing about the upstreams.
+            self._expire_at = now + EXPIRY_INTERVAL_S
+            actions += self._send_updates(self.upstreams.expire(now))
+        actions += self._send_updates(self.upstreams.take_due(now))
         actions += self._send_crashes(now)
         actions += self.limits.send_due(now, is_leader=self.is_leader)
         return actions
 
-    def _note_leadership(self, now: float) -> None:
+    def _update_leadership(self, now: float) -> None:
         if self.is_leader == self._was_leader:
             return
         self._was_leader = self.is_leader
-        # What is open is learned anew from the fronts.
+        # Fronts report their open jobs again to a new leader.
         self._ejections = EjectionPush()
         self.placement.start_term(self._fronts, now)
         logger.info("leadership changed", leads=self.is_leader)
 
     def _may_grant(self, now: float) -> bool:
-        """Whether nobody else grants what upstreams with limits may be sent."""
+        """Whether no other instance can grant sends to rate-limited upstreams.
+
+        Without such upstreams it is enough to lead and to know the open jobs.
+        """
         if not self.is_leader or self.placement.is_learning(now):
             return False
         if not self.limits.is_any:
@@ -232,36 +238,36 @@
     # Fronts
 
     def add_front(self, front: InstanceId, now: float) -> list[ControlAction]:
-        """A front dialled: tell it everything."""
+        """Add a newly linked front and return the initial state to send it."""
         self._fronts[front] = None
         self._documents.add_front(front)
-        self._catalogues.add_front(front, now)
+        self._catalogs.add_front(front, now)
         self.crashes.add_front(front)
         self.limits.add_front(front, now)
         logger.info("front attached", front=front, fronts=len(self._fronts))
-        actions: list[ControlAction] = [ToFront(front, self._build_news(now))]
-        actions += self._send_catalogues(now)
+        actions: list[ControlAction] = [ToFront(front, self._build_heartbeat(now))]
+        actions += self._send_catalogs(now)
         if self.is_leader:
             actions += self.limits.greet(front)
-        return actions + [*self._ejections.greet(front)]
+        return actions + [*self._ejections.send_current(front)]
 
     def add_relay(self, relay: InstanceId, now: float) -> list[ControlAction]:
-        """A relay dialled: it wants to know who leads, and nothing else."""
+        """Add a newly linked relay, which only receives heartbeats."""
         self._relays.add(relay)
-        return [ToFront(relay, self._build_news(now))]
+        return [ToFront(relay, self._build_heartbeat(now))]
 
     def remove_relay(self, relay: InstanceId) -> None:
-        """The link to a relay was lost."""
+        """Remove a relay whose link was lost."""
         self._relays.discard(relay)
 
     def remove_front(self, front: InstanceId, now: float) -> None:
-        """The link to a front was lost.
+        """Remove a front whose link was lost, with its jobs.
 
-        Its jobs are forgotten: if it still runs, it tells them anew over its next link.
+        A front that still runs reports its open jobs again over its next link.
         """
         self._fronts.pop(front, None)
         self._documents.remove_front(front)
-        self._catalogues.remove_front(front)
+        self._catalogs.remove_front(front)
         self.crashes.remove_front(front)
         self.limits.remove_front(front, now)
         self.placement.remove_front(front)
@@ -270,16 +276,17 @@
     def handle_front(
         self, front: InstanceId, message: LinkMessage, now: float
     ) -> list[ControlAction]:
-        """Take a message of a front."""
-        # It may lead since its last vote came: what is told now must not be forgotten.
-        self._note_leadership(now)
+        """Handle a message of a front."""
+        # A vote may have made this member the leader since the last tick. Starting the
+        # term later would discard the jobs reported in this message.
+        self._update_leadership(now)
         match message:
             case Subscribe(held, is_wanted):
                 return [*self._documents.subscribe(front, held, is_wanted=is_wanted)]
             case LeaseQuestion(asked_at, is_urgent):
-                question = FreshnessQuestion(now, front, asked_at, is_urgent=is_urgent)
-                self._questions.add(question)
-                return self._answer_questions(now)
+                request = FreshnessRequest(now, front, asked_at, is_urgent=is_urgent)
+                self._freshness_requests.add(request)
+                return self._reply_to_freshness_requests(now)
             case PlaceQuestion(work):
                 return [ToFront(front, self._place(work, now))]
             case JobStages(stages):
@@ -290,9 +297,9 @@
             case ReplicaPaces(paces):
                 self.placement.note_inspection(paces, [], now)
             case OutcomesSeen(outcomes):
-                return self._take_outcomes(outcomes, now)
+                return self._record_outcomes(outcomes, now)
             case CrashNews():
-                self.crashes.take(message, now)
+                self.crashes.receive(message, now)
                 return self._send_crashes(now)
             case LimitsHeard(heard):
                 self.limits.hear(front, heard, now)
@@ -301,15 +308,15 @@
             case RejectionSeen(upstream):
                 self.scheduler.note_rejection(upstream, now)
             case DrainingHeard(upstreams):
-                news = self.upstreams.note_draining(upstreams, now)
-                return self._tell_upstreams(news)
+                updates = self.upstreams.record_draining(upstreams, now)
+                return self._send_updates(updates)
             case SentAlone(upstreams):
                 for upstream in upstreams:
                     self.limits.budget.spend(upstream, now)
             case SendQuestion():
                 may_grant = self._may_grant(now)
-                answer = self.limits.answer(message, now, may_grant=may_grant)
-                return [ToFront(front, answer)]
+                reply = self.limits.answer(message, now, may_grant=may_grant)
+                return [ToFront(front, reply)]
             case OpenJobs(jobs):
                 self.placement.note_heard(front)
                 if self.is_leader:
@@ -322,8 +329,8 @@
         peers = self._list_peers()
         return self.crashes.send_due(self._fronts, peers, now, is_leader=self.is_leader)
 
-    def _send_catalogues(self, now: float) -> list[ControlAction]:
-        sent = self._catalogues.send_due(
+    def _send_catalogs(self, now: float) -> list[ControlAction]:
+        sent = self._catalogs.send_due(
             self.directory, self.upstreams.changes, now, is_leader=self.is_leader
         )
         return [*sent]
@@ -336,71 +343,74 @@
     def _list_peers(self) -> list[InstanceId]:
         return [one for one in self._list_instances() if one != self.me]
 
-    def _build_news(self, now: float) -> ControlNews:
+    def _build_heartbeat(self, now: float) -> ControlNews:
         return ControlNews(
             self._list_instances(),
             self.member.leader,
             self.member.replica.term,
             len(self._fronts),
-            self.scheduler.list_busy(now, BUSY_TOLD) if self.is_leader else [],
+            self.scheduler.list_busy(now, MAX_BUSY_REPLICAS) if self.is_leader else [],
         )
 
     # Upstreams
 
     def may_acknowledge(self) -> bool:
-        """Whether all fronts will hear of what is registered here.
+        """Whether registrations accepted here reach all fronts.
 
-        An instance that is new, or cut off from the group, may be unknown to them.
+        Fronts may not know an instance that is new or partitioned from the group.
         """
         return self.member.leader is not None
 
-    def introduce(self, instance: InstanceId) -> list[ControlAction]:
-        """A link to another control instance is up: tell it all upstreams."""
-        message = Registrations(self.directory.list_news())
+    def sync_peer(self, instance: InstanceId) -> list[ControlAction]:
+        """Return the full state to send over a new link to a control instance."""
+        message = Registrations(self.directory.list_updates())
         actions: list[ControlAction] = [ToInstance(instance, message)]  # type: ignore[arg-type]
-        return actions + self.crashes.introduce(instance)
+        return actions + self.crashes.sync_peer(instance)
 
     def register(self, endpoint: Endpoint, now: float) -> list[ControlAction]:
-        """An upstream registered here; raise if no document names its service.
+        """Register an upstream.
+
+        An upstream that is already known with its service is accepted even if the
+        service was removed since, so that it can still announce that it drains.
 
-        One that is known with it is heard even if the service was taken out since: it
-        must be able to say that it leaves.
+        Raises:
+            RequestError: The routing document does not have the service.
         """
         before = self.directory.get(endpoint.upstream)
-        is_as_known = before is not None and before.service == endpoint.service
-        if not is_as_known and not self._names_service(endpoint.service):
+        is_known = before is not None and before.service == endpoint.service
+        if not is_known and not self._names_service(endpoint.service):
             raise RequestError(
                 f"service {endpoint.service}", kind=ErrorKind.UNKNOWN_SERVICE
             )
-        return self._tell_upstreams(self.upstreams.register(endpoint, now))
+        return self._send_updates(self.upstreams.register(endpoint, now))
 
     def _names_service(self, service: ServiceName) -> bool:
-        """Whether the routing document has the service, as far as one is held."""
+        """Whether the routing document has the service; true without any document."""
         return self.routing.version == 0 or service in self.table.services
 
-    def remove(
+    def deregister(
         self, name: UpstreamName, now: float, born: int | None = None
     ) -> list[ControlAction]:
-        """An upstream says here that it leaves."""
+        """Deregister an upstream at its own request."""
         departure = Departure(name, born)
-        return self._tell_upstreams(self.upstreams.leave(departure, now))
+        return self._send_updates(self.upstreams.deregister(departure, now))
 
-    def _tell_upstreams(self, news: UpstreamNews) -> list[ControlAction]:
+    def _send_updates(self, updates: UpstreamUpdates) -> list[ControlAction]:
         actions: list[ControlAction] = []
-        if news.to_peers:
-            # One message for all, which is encoded once.
-            registrations = Registrations(news.to_peers)
+        if updates.to_peers:
+            # All peers share one message, which is then encoded only once.
+            registrations = Registrations(updates.to_peers)
             actions += [
                 ToInstance(instance, registrations)  # type: ignore[arg-type]
                 for instance in self._list_peers()
             ]
-        if news.to_fronts:
-            changes = EndpointChanges(news.to_fronts)
+        if updates.to_fronts:
+            changes = EndpointChanges(updates.to_fronts)
             actions += [ToFront(front, changes) for front in self._fronts]
         return actions
 
     def list_engines(self) -> dict[UpstreamId, str]:
-        """Addresses of the replicas that the leader asks how slow they are."""
+        """Addresses of the engine replicas whose pace the leader polls."""
         return {
             endpoint.upstream: endpoint.address
             for service in self.routing.services
@@ -408,19 +418,19 @@
             for endpoint in self.directory.list_usable(service.name)
         }
 
-    def note_inspection(
-        self, paces: list[ReplicaPace], silent: list[UpstreamId], now: float
+    def record_inspection(
+        self, paces: list[ReplicaPace], unresponsive: list[UpstreamId], now: float
     ) -> None:
-        """Replicas told how slow they are, or did not answer."""
-        self.placement.note_inspection(paces, silent, now)
+        """Record the paces that replicas reported and the unresponsive replicas."""
+        self.placement.note_inspection(paces, unresponsive, now)
 
-    def _take_outcomes(
+    def _record_outcomes(
         self, outcomes: list[UpstreamOutcomes], now: float
     ) -> list[ControlAction]:
-        """As leader, learn what became of a front's attempts."""
+        """As leader, record the outcomes of a front's attempts."""
         if not self.is_leader:
             return []
-        self._ejections.take(outcomes, self.directory, now)
+        self._ejections.record(outcomes, self.directory, now)
         return self._publish_ejected(now)
 
     def _publish_ejected(self, now: float) -> list[ControlAction]:
@@ -429,17 +439,17 @@
     # Routing documents
 
     def propose_routing(self, stored: StoredRouting, now: float, at: float) -> str:
-        """As leader, propose a document; its end is a :class:`ProposalEnded`."""
+        """As leader, propose a document; :class:`ProposalEnded` returns the result."""
         self._proposals += 1
         name = f"routing/{self._proposals}"
         command = encode_command(PutRouting(stored))
         self.member.handle(self.me, Propose(name, command), now, at)
         return name
 
-    def ask_fresh(self, now: float) -> int:
-        """Ask whether the document held is the newest; see :class:`ReadConfirmed`."""
+    def request_fresh_read(self, now: float) -> int:
+        """Request a confirmed read; :class:`ReadConfirmed` names the returned id."""
         self._readers += 1
-        self._questions.add(FreshnessQuestion(now, None, now, self._readers))
+        self._freshness_requests.add(FreshnessRequest(now, None, now, self._readers))
         return self._readers
 
     def _load_routing(self) -> None:
@@ -448,22 +458,22 @@
             return
         self.routing = unpack_routing(stored)
         self.table = RouteTable(self.routing)
-        self._documents.note_document(self.routing)
+        self._documents.record_document(self.routing)
 
-    def _answer_questions(self, now: float) -> list[ControlAction]:
+    def _reply_to_freshness_requests(self, now: float) -> list[ControlAction]:
         replica = self.member.replica
-        answered = self._questions.take_confirmed(
+        confirmed = self._freshness_requests.take_confirmed(
             replica.compute_confirmed_at(now), now, is_leader=self.is_leader
         )
-        urgent_at = self._questions.find_urgent()
+        urgent_at = self._freshness_requests.find_urgent()
         if urgent_at is not None:
             replica.hasten_confirmation(urgent_at, now)
-        readers = [question.reader for question in answered if question.front is None]
+        readers = [request.reader for request in confirmed if request.front is None]
         actions: list[ControlAction] = []
-        for question in answered:
-            if question.front is not None:
-                answer = LeaseAnswer(question.asked_at, self.routing.version)
-                actions.append(ToFront(question.front, answer))
+        for request in confirmed:
+            if request.front is not None:
+                reply = LeaseAnswer(request.asked_at, self.routing.version)
+                actions.append(ToFront(request.front, reply))
         if readers:
             actions.append(ReadConfirmed(readers))
         return actions
@@ -479,7 +489,7 @@
         )
 
 
-def _read_answer(answer: ProposalAnswer) -> ProposalEnded:
-    result = answer.result
+def _read_proposal_reply(reply: ProposalAnswer) -> ProposalEnded:
+    result = reply.result
     held = result.version if isinstance(result, RoutingHeld) else None
-    return ProposalEnded(answer.proposal, held)
+    return ProposalEnded(reply.proposal, held)
--- a/src/scalebend/core/gateway/crash_exchange.py
+++ b/src/scalebend/core/gateway/crash_exchange.py
@@ -1,10 +1,10 @@
-"""Spreads what fronts saw of requests under which upstreams ended.
+"""Distributes crash records of suspect requests between fronts and control instances.
 
-A front tells the leader at once, and whoever is told tells all fronts and the other
-control instances, so that the next arrival is judged alike wherever it comes: callers
-send again a few milliseconds after a failure, to another front. Fronts tell a new
-leader again what they know, and a front that starts is told everything, so nothing is
-lost with any one process.
+A front reports a crash to the leader immediately, and the instance that receives the
+report sends it to all fronts and to the other control instances. All fronts must know
+soon, because callers retry at another front within milliseconds. Records survive the
+loss of any process: fronts report theirs again to a new leader, and a front that starts
+receives all records.
 """
 
 from __future__ import annotations
@@ -19,55 +19,55 @@
 from scalebend.models.crashes import CrashRecord
 from scalebend.models.ids import Fingerprint, InstanceId
 
-SPREAD_PERIOD = 0.02
-"""Seconds from one message to all fronts to the next: an upstream that ends blames all
-that it ran, eight at once, and each front that waited for it tells so. The first goes
-on at once; with each alone a crash would cost 2,400 messages at 300 fronts, not 600."""
+SEND_INTERVAL_S = 0.02
+"""Minimum interval of messages to all fronts. One crash makes all requests on the
+upstream suspect, and several fronts report them; the first report is sent immediately
+and the rest in one message."""
 
 
 class CrashExchange:
-    """The ledger of one control instance, and what is to be told of it."""
+    """The crash ledger of one control instance, and the pending updates."""
 
     def __init__(self) -> None:
         self.ledger = CrashLedger()
-        self._news: dict[Fingerprint, CrashRecord] = {}
-        self._cleared: dict[Fingerprint, None] = {}
-        self._untold: dict[InstanceId, None] = {}
-        """Fronts that were linked and not told yet."""
+        self._pending: dict[Fingerprint, CrashRecord] = {}
+        self._pending_cleared: dict[Fingerprint, None] = {}
+        self._uninformed_fronts: dict[InstanceId, None] = {}
+        """Newly linked fronts that have not received the records yet."""
 
         self._send_at = -math.inf
 
     def restore(self, records: list[CrashRecord], now: float) -> None:
-        """Take what was known before a restart of this instance; holds begin anew."""
+        """Restore records from before a restart; quarantines start again in full."""
         self.ledger.merge(records, now)
 
     def add_front(self, front: InstanceId) -> None:
-        """A front was linked."""
-        self._untold[front] = None
+        """Add a newly linked front."""
+        self._uninformed_fronts[front] = None
 
     def remove_front(self, front: InstanceId) -> None:
-        """The link to a front was lost."""
-        self._untold.pop(front, None)
-
-    def take(self, news: CrashNews, now: float) -> None:
-        """A front told what it saw."""
-        for record in self.ledger.merge(news.records, now):
-            self._news[record.fingerprint] = record
-        for fingerprint in self.ledger.clear(news.cleared):
-            self._news.pop(fingerprint, None)
-            self._cleared[fingerprint] = None
-
-    def take_from_peer(self, news: CrashNews, now: float) -> None:
-        """Another control instance told, which tells the fronts itself."""
-        self.ledger.merge(news.records, now)
-        self.ledger.clear(news.cleared)
+        """Remove a front whose link was lost."""
+        self._uninformed_fronts.pop(front, None)
+
+    def receive(self, updates: CrashNews, now: float) -> None:
+        """Apply the report of a front and queue what is new for all."""
+        for record in self.ledger.merge(updates.records, now):
+            self._pending[record.fingerprint] = record
+        for fingerprint in self.ledger.clear(updates.cleared):
+            self._pending.pop(fingerprint, None)
+            self._pending_cleared[fingerprint] = None
+
+    def receive_from_peer(self, updates: CrashNews, now: float) -> None:
+        """Apply an update of a peer, which sends it to the fronts itself."""
+        self.ledger.merge(updates.records, now)
+        self.ledger.clear(updates.cleared)
 
     def is_due(self, now: float) -> bool:
-        """Whether there is anything to tell by now."""
-        return self._may_tell_news(now) or bool(self._untold)
+        """Whether there is anything to send now."""
+        return self._may_send_updates(now) or bool(self._uninformed_fronts)
 
-    def _may_tell_news(self, now: float) -> bool:
-        return bool(self._news or self._cleared) and now >= self._send_at
+    def _may_send_updates(self, now: float) -> bool:
+        return bool(self._pending or self._pending_cleared) and now >= self._send_at
 
     def send_due(
         self,
@@ -77,25 +77,29 @@
         *,
         is_leader: bool,
     ) -> list[ControlAction]:
-        """Tell what is new; the leader tells fronts that are new everything."""
+        """Send pending updates; the leader also sends new fronts all records."""
         actions: list[ControlAction] = []
-        if self._may_tell_news(now):
-            self._send_at = now + SPREAD_PERIOD
-            news = CrashNews(list(self._news.values()), list(self._cleared))
-            self._news.clear()
-            self._cleared.clear()
-            actions += [ToFront(front, news) for front in fronts]
-            actions += [ToInstance(peer, news) for peer in peers]  # type: ignore[arg-type]
-        if is_leader and self._untold:
+        if self._may_send_updates(now):
+            self._send_at = now + SEND_INTERVAL_S
+            updates = CrashNews(
+                list(self._pending.values()), list(self._pending_cleared)
+            )
+            self._pending.clear()
+            self._pending_cleared.clear()
+            actions += [ToFront(front, updates) for front in fronts]
+            actions += [ToInstance(peer, updates) for peer in peers]  # type: ignore[arg-type]
+        if is_leader and self._uninformed_fronts:
             records = self.ledger.list_records()
             if records:
                 everything = CrashNews(records, [])
-                actions += [ToFront(front, everything) for front in self._untold]
-            self._untold.clear()
+                actions += [
+                    ToFront(front, everything) for front in self._uninformed_fronts
+                ]
+            self._uninformed_fronts.clear()
         return actions
 
-    def introduce(self, peer: InstanceId) -> list[ControlAction]:
-        """A link to another control instance is up: tell it all records."""
+    def sync_peer(self, peer: InstanceId) -> list[ControlAction]:
+        """Return all records to send over a new link to a control instance."""
         records = self.ledger.list_records()
         if not records:
             return []
--- a/src/scalebend/core/gateway/ejection_push.py
+++ b/src/scalebend/core/gateway/ejection_push.py
@@ -1,4 +1,4 @@
-"""Tells fronts and the scheduler which upstreams the leader ejects."""
+"""Publishes the upstreams that the leader ejects to fronts and to the scheduler."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class EjectionPush:
-    """What fronts saw of upstreams, and what they were told of it; from one leader."""
+    """Outlier detection on the leader, and the ejections published last."""
 
     def __init__(self) -> None:
         self._detector = OutlierDetector()
-        self._told: list[UpstreamId] = []
+        self._published: list[UpstreamId] = []
 
-    def take(
+    def record(
         self,
         outcomes: Iterable[UpstreamOutcomes],
         directory: EndpointDirectory,
         now: float,
     ) -> None:
-        """Learn what became of a front's attempts."""
+        """Record the outcomes of a front's attempts."""
         for one in outcomes:
             endpoint = directory.get(one.upstream)
             if endpoint is not None:
@@ -38,23 +38,27 @@
                 self._detector.note(one, endpoint.service, usable, now)
 
     def expire(self, now: float) -> None:
-        """Forget upstreams that failed nothing for long."""
+        """Forget upstreams without recent failures."""
         self._detector.expire(now)
 
-    def greet(self, front: InstanceId) -> list[ToFront]:
-        """Tell a front that was just linked."""
-        return [ToFront(front, EjectedUpstreams(self._told))] if self._told else []
+    def send_current(self, front: InstanceId) -> list[ToFront]:
+        """Send the current ejections to a newly linked front."""
+        return (
+            [ToFront(front, EjectedUpstreams(self._published))]
+            if self._published
+            else []
+        )
 
     def publish(
         self, fronts: Iterable[InstanceId], scheduler: EngineScheduler, now: float
     ) -> list[ToFront]:
-        """Tell all fronts, if what is ejected has changed."""
+        """Send the ejections to all fronts if they changed."""
         ejections = self._detector.list_ejections(now)
         ejected = [one.upstream for one in ejections]
-        if ejected == self._told:
+        if ejected == self._published:
             return []
         for one in ejections:
             scheduler.avoid(one.upstream, one.until)
-        logger.info("upstreams ejected", upstreams=ejected, before=self._told)
-        self._told = ejected
+        logger.info("upstreams ejected", upstreams=ejected, before=self._published)
+        self._published = ejected
         return [ToFront(front, EjectedUpstreams(ejected)) for front in fronts]
--- a/src/scalebend/core/gateway/endpoint_directory.py
+++ b/src/scalebend/core/gateway/endpoint_directory.py
@@ -1,18 +1,17 @@
-"""Which upstreams are registered, merged from several control instances.
+"""Directory of registered upstreams, merged from several control instances.
 
-Each control instance hears some registrations directly and the rest from the other
-control instances; fronts hear changes from all of them. Whoever hears first wins,
-by the registration's sequence number; a draining or departed incarnation never becomes
-ready again.
+A control instance receives some registrations directly and the rest from the other
+control instances; fronts receive changes from all of them. Registrations of one
+incarnation are ordered by their sequence number. A draining or deregistered incarnation
+never becomes ready again.
 
-An upstream that starts again under its name is another incarnation: it ends the one
-before at once, whatever was known of that, and nothing that is told of an earlier one
-counts from then on, however late it comes.
+An upstream that restarts under its name is a new incarnation. It ends the previous one
+immediately, and updates about earlier incarnations are ignored from then on.
 
-An address belongs to the id that registered there last: an upstream that crashed says
-nothing, and one with another name may be back there before its silence is noticed. A
-registration that was delayed on its way may come after that; it takes the address only
-for as long as the true one is not heard again.
+An address belongs to the id that registered there last, because an upstream that
+crashed does not deregister and another one may use its address before its registration
+expires. A delayed registration can take over the address of the live upstream, but only
+until that upstream has registered again a few times.
 """
 
 from __future__ import annotations
@@ -30,65 +29,71 @@
 
 logger = structlog.get_logger(__name__)
 
-REMEMBERED_GONE = 60.0
-"""Seconds for which a departed id is remembered, against late registrations;
-the platform delivers them seconds late."""
+GONE_RETENTION_S = 60.0
+"""How long ids that are gone are kept, so that delayed registrations of them are
+ignored; the platform may deliver a registration seconds late."""
 
-HEARD_AGAIN = 2
-"""Registrations after which an id takes its address back: one may have been delayed."""
+REGISTRATIONS_TO_REGAIN_ADDRESS = 2
+"""Registrations after which an id regains its address; a single one may be delayed."""
 
 
 class _Known(msgspec.Struct):
     endpoint: Endpoint
-    heard_at: float
+    last_seen_at: float
     is_gone: bool = False
-    heard_since: int | None = None
-    """Registrations since another id took the address; ``None`` when none did."""
+    takeover_registrations: int | None = None
+    """Registrations since another id took the address; ``None`` if none did."""
 
 
 class EndpointDirectory:
-    """Upstreams by id, with when each was last heard of."""
-
-    def __init__(self, silence_limit: float, heard_again: int = HEARD_AGAIN) -> None:
-        """``silence_limit`` is in seconds; ``heard_again`` see :data:`HEARD_AGAIN`.
-
-        With 1, whatever was told last counts: for fronts, which hear of each change
-        once, from control instances that have counted already.
+    """Upstreams by id, with the time of the last registration of each."""
+
+    def __init__(
+        self,
+        registration_timeout_s: float,
+        registrations_to_regain_address: int = REGISTRATIONS_TO_REGAIN_ADDRESS,
+    ) -> None:
+        """Create an empty directory.
+
+        ``registration_timeout_s`` is the time without a registration after which an
+        upstream is gone. Fronts set ``registrations_to_regain_address`` to 1, so that
+        the last update wins: they receive each change once, from control instances
+        that have already counted registrations.
         """
-        self._silence_limit = silence_limit
-        self._heard_again = heard_again
+        self._registration_timeout_s = registration_timeout_s
+        self._registrations_to_regain_address = registrations_to_regain_address
         self._known: dict[UpstreamId, _Known] = {}
         self._newest: dict[UpstreamName, UpstreamId] = {}
-        """The last incarnation of each upstream, gone or not."""
+        """The latest incarnation of each upstream, including those that are gone."""
 
         self._by_service: dict[ServiceName, dict[UpstreamId, Endpoint]] = {}
         self._by_address: dict[str, UpstreamId] = {}
         self._usable: dict[ServiceName, tuple[Endpoint, ...]] = {}
-        """What was handed out last, until the service's upstreams change."""
+        """Cache of :meth:`list_usable`, until the upstreams of a service change."""
 
     def get(self, upstream: UpstreamId) -> Endpoint | None:
-        """The endpoint, unless it is gone."""
+        """Return the endpoint, or ``None`` if it is unknown or gone."""
         known = self._known.get(upstream)
         return known.endpoint if known is not None and not known.is_gone else None
 
     def is_usable(self, upstream: UpstreamId) -> bool:
-        """Whether an upstream may be sent new requests."""
+        """Whether new requests may be sent to the upstream."""
         endpoint = self.get(upstream)
         return endpoint is not None and not endpoint.is_draining
 
-    def has_ended(self, upstream: UpstreamId) -> bool:
-        """Whether it is gone and never said that it would leave."""
+    def is_lost(self, upstream: UpstreamId) -> bool:
+        """Whether the upstream is gone without having announced that it drains."""
         known = self._known.get(upstream)
         return known is not None and known.is_gone and not known.endpoint.is_draining
 
     def get_newest(self, name: UpstreamName) -> UpstreamId | None:
-        """The last incarnation of an upstream that was heard of, gone or not."""
+        """Return the latest known incarnation of an upstream, even if it is gone."""
         return self._newest.get(name)
 
     def list_usable(self, service: ServiceName) -> tuple[Endpoint, ...]:
-        """Endpoints of a service that may be sent new requests.
+        """Return the endpoints of a service that may receive new requests.
 
-        The same object until one of them changes.
+        Returns the same object until one of them changes.
         """
         usable = self._usable.get(service)
         if usable is None:
@@ -97,49 +102,55 @@
         return usable
 
     def list_ids(self) -> list[UpstreamId]:
-        """Ids of all upstreams that are not gone."""
+        """List the ids of all upstreams that are not gone."""
         return [u for u, known in self._known.items() if not known.is_gone]
 
-    def list_news(self) -> list[EndpointNews]:
-        """Everything known, for a process that knows nothing yet."""
+    def list_updates(self) -> list[EndpointNews]:
+        """List the full state, for a process that has none yet."""
         return [EndpointNews(k.endpoint, k.is_gone) for k in self._known.values()]
 
-    def restore(self, news: list[EndpointNews], life: float, now: float) -> None:
-        """Take what was known before a restart, for ``life`` seconds.
+    def restore(
+        self, updates: list[EndpointNews], lifetime_s: float, now: float
+    ) -> None:
+        """Restore the state from before a restart.
 
-        Who registers again in that time stays, as any other.
+        Upstreams that do not register again within ``lifetime_s`` expire.
         """
-        for one in news:
+        for one in updates:
             self.merge(one, now)
         for known in self._known.values():
             if not known.is_gone:
-                known.heard_at = now - self._silence_limit + life
+                known.last_seen_at = now - self._registration_timeout_s + lifetime_s
 
     def register(self, endpoint: Endpoint, now: float) -> EndpointNews | None:
-        """Take a registration; return what changed, if anything did."""
+        """Apply a registration; return the update to publish if anything changed."""
         if self._is_superseded(endpoint):
             return None
         known = self._known.get(endpoint.upstream)
         if known is None:
-            self._begin(endpoint, now)
+            self._start_incarnation(endpoint, now)
             self._known[endpoint.upstream] = _Known(endpoint, now)
             self._take_address(endpoint)
             return self._publish(endpoint, is_gone=False)
-        if known.heard_since is not None and not self._count_again(known, endpoint):
+        if known.takeover_registrations is not None and not self._regains_address(
+            known, endpoint
+        ):
             return None
-        known.heard_at = now
-        # A silent upstream that speaks again is back; a departed one has said so.
-        was_silent = known.is_gone and not known.endpoint.is_draining
-        if known.is_gone and not was_silent:
+        known.last_seen_at = now
+        # An upstream that only timed out comes back; a deregistered one does not.
+        has_timed_out = known.is_gone and not known.endpoint.is_draining
+        if known.is_gone and not has_timed_out:
             return None
         if endpoint.sequence < known.endpoint.sequence:
-            # Late, but who began to leave has not changed its mind since.
+            # The registration is late, but draining is final.
             if endpoint.is_draining:
-                return self.note_draining(endpoint.upstream)
+                return self.record_draining(endpoint.upstream)
             return None
         is_draining = known.endpoint.is_draining or endpoint.is_draining
         merged = msgspec.structs.replace(endpoint, is_draining=is_draining)
-        has_changed = was_silent or not _is_alike(merged, known.endpoint)
+        has_changed = has_timed_out or not _is_same_but_for_sequence(
+            merged, known.endpoint
+        )
         known.endpoint = merged
         known.is_gone = False
         return self._publish(merged, is_gone=False) if has_changed else None
@@ -157,8 +168,8 @@
         )
         return True
 
-    def _begin(self, endpoint: Endpoint, now: float) -> None:
-        """An incarnation is heard of first: the one before it has ended."""
+    def _start_incarnation(self, endpoint: Endpoint, now: float) -> None:
+        """Record a new incarnation and remove the previous one."""
         before = self._newest.get(endpoint.name)
         self._newest[endpoint.name] = endpoint.upstream
         if before is None or before == endpoint.upstream:
@@ -172,7 +183,7 @@
         self.remove(before, now)
 
     def _take_address(self, endpoint: Endpoint) -> None:
-        """Whoever had the address before has ended."""
+        """Assign the address to the endpoint; its previous holder is gone."""
         before = self._by_address.get(endpoint.address)
         self._by_address[endpoint.address] = endpoint.upstream
         known = self._known.get(before) if before is not None else None
@@ -181,7 +192,7 @@
         if known.endpoint.address != endpoint.address:
             return
         known.is_gone = True
-        known.heard_since = 0
+        known.takeover_registrations = 0
         logger.info(
             "address taken over",
             address=endpoint.address,
@@ -190,35 +201,38 @@
         )
         self._publish(known.endpoint, is_gone=True)
 
-    def _count_again(self, known: _Known, endpoint: Endpoint) -> bool:
-        """Whether an id that lost its address was heard often enough to have it."""
+    def _regains_address(self, known: _Known, endpoint: Endpoint) -> bool:
+        """Count a registration of an id that lost its address.
+
+        Returns whether the id has registered often enough to regain the address.
+        """
         is_late = endpoint.sequence < known.endpoint.sequence
         is_same = endpoint.sequence == known.endpoint.sequence
-        if not is_late and (not is_same or self._heard_again == 1):
-            known.heard_since = (known.heard_since or 0) + 1
+        if not is_late and (not is_same or self._registrations_to_regain_address == 1):
+            known.takeover_registrations = (known.takeover_registrations or 0) + 1
             is_draining = known.endpoint.is_draining or endpoint.is_draining
             known.endpoint = msgspec.structs.replace(endpoint, is_draining=is_draining)
-        if (known.heard_since or 0) < self._heard_again:
+        if (known.takeover_registrations or 0) < self._registrations_to_regain_address:
             return False
-        known.heard_since = None
+        known.takeover_registrations = None
         self._take_address(endpoint)
         return True
 
     def remove(self, upstream: UpstreamId, now: float) -> EndpointNews | None:
-        """This incarnation leaves or has ended: it gets nothing new, never returns."""
+        """Mark an incarnation as gone for good."""
         known = self._known.get(upstream)
         if known is None:
             return None
-        is_news = not known.is_gone or not known.endpoint.is_draining
+        is_change = not known.is_gone or not known.endpoint.is_draining
         known.endpoint = msgspec.structs.replace(known.endpoint, is_draining=True)
         known.is_gone = True
-        known.heard_at = now
-        return self._publish(known.endpoint, is_gone=True) if is_news else None
+        known.last_seen_at = now
+        return self._publish(known.endpoint, is_gone=True) if is_change else None
 
-    def note_draining(self, upstream: UpstreamId) -> EndpointNews | None:
-        """This incarnation said elsewhere than in a registration that it leaves.
+    def record_draining(self, upstream: UpstreamId) -> EndpointNews | None:
+        """Record that an incarnation announced, outside a registration, that it drains.
 
-        One that only seems gone, since it was silent, does not come back after that.
+        An incarnation that timed out does not come back after that.
         """
         known = self._known.get(upstream)
         if known is None or known.endpoint.is_draining:
@@ -226,50 +240,51 @@
         known.endpoint = msgspec.structs.replace(known.endpoint, is_draining=True)
         return self._publish(known.endpoint, is_gone=known.is_gone)
 
-    def leave(self, departure: Departure, now: float) -> EndpointNews | None:
-        """An upstream says that it leaves."""
+    def deregister(self, departure: Departure, now: float) -> EndpointNews | None:
+        """Deregister an upstream; without ``born``, its latest incarnation."""
         if departure.born is not None:
             upstream = build_upstream_id(departure.name, departure.born)
             return self.remove(upstream, now)
         newest = self._newest.get(departure.name)
         return self.remove(newest, now) if newest is not None else None
 
-    def merge(self, news: EndpointNews, now: float) -> EndpointNews | None:
-        """Take what another process published; return what is new here."""
-        if not news.is_gone:
-            return self.register(news.endpoint, now)
-        if self._is_superseded(news.endpoint):
+    def merge(self, update: EndpointNews, now: float) -> EndpointNews | None:
+        """Apply an update of another process; return the update that is new here."""
+        if not update.is_gone:
+            return self.register(update.endpoint, now)
+        if self._is_superseded(update.endpoint):
             return None
-        upstream = news.endpoint.upstream
+        upstream = update.endpoint.upstream
         known = self._known.get(upstream)
         if known is None:
-            self._begin(news.endpoint, now)
-            self._known[upstream] = _Known(news.endpoint, now, is_gone=True)
-            return news
-        if news.endpoint.is_draining:
+            self._start_incarnation(update.endpoint, now)
+            self._known[upstream] = _Known(update.endpoint, now, is_gone=True)
+            return update
+        if update.endpoint.is_draining:
             return self.remove(upstream, now)
-        if known.is_gone or known.endpoint.sequence > news.endpoint.sequence:
+        if known.is_gone or known.endpoint.sequence > update.endpoint.sequence:
             return None
         known.is_gone = True
         return self._publish(known.endpoint, is_gone=True)
 
     def expire(self, now: float) -> list[EndpointNews]:
-        """Take out the silent, and forget those long gone; return the changes."""
-        silent = [
+        """Mark timed-out upstreams as gone, forget old ones; return the changes."""
+        timed_out = [
             known
             for known in self._known.values()
-            if not known.is_gone and now - known.heard_at > self._silence_limit
+            if not known.is_gone
+            and now - known.last_seen_at > self._registration_timeout_s
         ]
-        for known in silent:
+        for known in timed_out:
             known.is_gone = True
         self._forget(now)
-        return [self._publish(known.endpoint, is_gone=True) for known in silent]
+        return [self._publish(known.endpoint, is_gone=True) for known in timed_out]
 
     def _forget(self, now: float) -> None:
         old = [
             upstream
             for upstream, known in self._known.items()
-            if known.is_gone and now - known.heard_at > REMEMBERED_GONE
+            if known.is_gone and now - known.last_seen_at > GONE_RETENTION_S
         ]
         for upstream in old:
             endpoint = self._known.pop(upstream).endpoint
@@ -288,6 +303,6 @@
         return EndpointNews(endpoint, is_gone)
 
 
-def _is_alike(one: Endpoint, other: Endpoint) -> bool:
-    """Whether two registrations say the same, but for their number."""
+def _is_same_but_for_sequence(one: Endpoint, other: Endpoint) -> bool:
+    """Whether two registrations differ at most in their sequence number."""
     return msgspec.structs.replace(one, sequence=other.sequence) == other
--- a/src/scalebend/core/gateway/freshness.py
+++ b/src/scalebend/core/gateway/freshness.py
@@ -1,7 +1,7 @@
-"""Who waits to hear that the routing document held by the leader is the newest.
+"""Pending requests to confirm that the leader's routing document is the newest.
 
-A leader may have been replaced without knowing. So a question is answered only once a
-quorum has confirmed the leader after the question came.
+A leader may have been replaced without knowing. So a request gets its reply only once a
+quorum has confirmed the leadership after the request was received.
 """
 
 from __future__ import annotations
@@ -10,56 +10,57 @@
 
 from scalebend.models.ids import InstanceId
 
-PATIENCE = 2.0
-"""Seconds for which a question waits for a quorum, twice what an election takes."""
+QUORUM_TIMEOUT_S = 2.0
+"""How long a request waits for a quorum; longer than an election takes."""
 
 
-class FreshnessQuestion(msgspec.Struct, frozen=True):
-    """Someone who waits until leadership is confirmed after ``received_at``."""
+class FreshnessRequest(msgspec.Struct, frozen=True):
+    """A front or reader waiting for a confirmation later than ``received_at``."""
 
     received_at: float
     front: InstanceId | None
-    """The front that wants a lease; ``None`` for a reader."""
+    """The front that requests a lease; ``None`` for a reader."""
 
     asked_at: float
-    """When it asked, by the front's own clock."""
+    """When the front sent the request, by its own clock."""
 
     reader: int = 0
     is_urgent: bool = False
-    """Whether the front refuses requests until it is answered."""
+    """Whether the front rejects requests of callers until it has the reply."""
 
 
-class FreshnessQuestions:
-    """Questions that wait, in any order."""
+class PendingFreshnessRequests:
+    """Pending requests, in any order."""
 
     def __init__(self) -> None:
-        self._waiting: list[FreshnessQuestion] = []
+        self._pending: list[FreshnessRequest] = []
 
-    def add(self, question: FreshnessQuestion) -> None:
-        """Let a question wait."""
-        self._waiting.append(question)
+    def add(self, request: FreshnessRequest) -> None:
+        """Add a request."""
+        self._pending.append(request)
 
     def take_confirmed(
         self, confirmed_at: float | None, now: float, *, is_leader: bool
-    ) -> list[FreshnessQuestion]:
-        """Take out the questions that came before leadership was last confirmed.
+    ) -> list[FreshnessRequest]:
+        """Take the requests received before the last confirmation of the leadership.
 
-        ``confirmed_at`` is ``None`` when it was not: one that has just won the lead may
-        still be, so fronts wait for it, too; elsewhere only readers do.
+        ``confirmed_at`` is ``None`` without a confirmation. Requests of fronts then
+        stay only on the leader, which may have just been elected; those of readers stay
+        on any member. All are dropped after :data:`QUORUM_TIMEOUT_S`.
         """
         if confirmed_at is None:
-            self._waiting = [
-                question
-                for question in self._waiting
-                if (question.front is None or is_leader)
-                and now - question.received_at < PATIENCE
+            self._pending = [
+                request
+                for request in self._pending
+                if (request.front is None or is_leader)
+                and now - request.received_at < QUORUM_TIMEOUT_S
             ]
             return []
-        taken = [q for q in self._waiting if q.received_at <= confirmed_at]
-        self._waiting = [q for q in self._waiting if q.received_at > confirmed_at]
+        taken = [one for one in self._pending if one.received_at <= confirmed_at]
+        self._pending = [one for one in self._pending if one.received_at > confirmed_at]
         return taken
 
     def find_urgent(self) -> float | None:
-        """When the newest urgent question came that still waits."""
-        urgent = [q.received_at for q in self._waiting if q.is_urgent]
+        """Return when the newest pending urgent request was received."""
+        urgent = [one.received_at for one in self._pending if one.is_urgent]
         return max(urgent, default=None)
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -114,7 +114,9 @@
         self.lease = KeyLease(
             bounds.key_revocation, is_strict=bounds.is_revocation_strict
         )
-        self.directory = EndpointDirectory(SILENCE_LIMIT, heard_again=1)
+        self.directory = EndpointDirectory(
+            SILENCE_LIMIT, registrations_to_regain_address=1
+        )
         self.balancer = ServiceBalancer()
         self.crashes = CrashLedger()
         self.limits = FrontLimits(settings.instance, now)
@@ -306,7 +308,7 @@
             ToControl(news.leader, Subscribe(self.table.routing.version)),
             ToControl(news.leader, OpenJobs(self._jobs.list_open(now))),
             ToControl(news.leader, self._ask_lease(now)),
-            *self._tell_crashes(self.crashes.list_to_tell(now)),
+            *self._tell_crashes(self.crashes.list_to_publish(now)),
         ]
 
     def _ask_lease(self, now: float) -> LeaseQuestion:
@@ -445,7 +447,7 @@
 
         ``None`` if that is no news.
         """
-        if self.directory.note_draining(upstream) is None:
+        if self.directory.record_draining(upstream) is None:
             return None
         self._draining[upstream] = None
         return self._tell_draining([upstream])
@@ -459,12 +461,12 @@
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> list[ToControl]:
         """An upstream ended, or cut the request off, while it ran it."""
-        record = self.crashes.note_lost(fingerprint, upstream, now)
+        record = self.crashes.record_crash(fingerprint, upstream, now)
         return self._tell_crashes([record]) if record is not None else []
 
     def note_answered(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
         """An upstream gave a whole answer to the request."""
-        if not self.crashes.note_answered(fingerprint, now):
+        if not self.crashes.record_response(fingerprint, now):
             return []
         return self._tell_leader(CrashNews([], [fingerprint]))
 
@@ -482,7 +484,7 @@
         ended = [
             upstream
             for upstream in owing
-            if upstream in superseded or self.directory.has_ended(upstream)
+            if upstream in superseded or self.directory.is_lost(upstream)
         ]
         actions = []
         for upstream in ended:
--- a/src/scalebend/core/gateway/routing_push.py
+++ b/src/scalebend/core/gateway/routing_push.py
@@ -1,9 +1,8 @@
-"""Sends each front the routing documents that it lacks, one at a time.
+"""Sends each front the newest routing document, one document at a time.
 
-A link to a control instance also carries the answers that requests wait for. A large
-document sent to hundreds of fronts at once fills it, and those answers come late: 920
-new routes to 195 fronts took 0.13 s of a link of 170 Mbit/s, in which 37 of 300 choices
-were made without the leader. So large ones go out over several turns.
+The links also carry replies that requests wait for, and a large document sent to
+hundreds of fronts at once would delay them. So the documents are paced: each interval
+sends a limited number of bytes.
 """
 
 from __future__ import annotations
@@ -18,122 +17,127 @@
 from scalebend.models.routing import EMPTY_ROUTING, Routing
 
 KEPT_VERSIONS = 64
-"""Routing documents kept to send only what changed since one of them."""
+"""Past routing documents kept as a base for sending only the changes."""
 
-TURN = 0.02
-"""Seconds between two turns in which large documents go out."""
+PUSH_INTERVAL_S = 0.02
+"""Interval in which a limited number of bytes is sent."""
 
-TURN_BYTES = 128 * 1024
-"""Bytes of documents sent in one turn: 51 Mbit/s, a third of a link of a small control
-machine. A turn sends more where that would take longer than :data:`LONGEST_PUSH`."""
+PUSH_INTERVAL_BYTES = 128 * 1024
+"""Bytes sent per interval, so that replies still fit the link of a small instance.
+Raised where a push would otherwise take longer than :data:`MAX_PUSH_S`."""
 
-LONGEST_PUSH = 1.0
-"""Seconds in which all fronts are sent a document, a third of the time in which a
-change must be in force everywhere."""
+MAX_PUSH_S = 1.0
+"""Time in which a document is sent to all fronts, a third of the time in which a change
+must be in force everywhere."""
 
 
 class _Front(msgspec.Struct):
-    held: RoutingVersion = RoutingVersion(0)
-    sent: RoutingVersion = RoutingVersion(0)
+    held_version: RoutingVersion = RoutingVersion(0)
+    sent_version: RoutingVersion = RoutingVersion(0)
     is_subscribed: bool = False
 
 
 class RoutingPush:
-    """What each front holds of the newest routing document."""
+    """The newest routing document, and the versions that fronts hold."""
 
     def __init__(self) -> None:
         self.routing = EMPTY_ROUTING
         self._history: dict[RoutingVersion, Routing] = {
             EMPTY_ROUTING.version: EMPTY_ROUTING
         }
-        self._packed: dict[RoutingVersion, RoutingNews] = {}
-        """What fronts that hold a version are sent for the newest one."""
+        self._updates_by_base: dict[RoutingVersion, RoutingNews] = {}
+        """Packed updates to the newest document, by the version that a front holds."""
 
         self._fronts: dict[InstanceId, _Front] = {}
-        self._waiting: dict[InstanceId, None] = {}
-        """Fronts that are to be sent the newest document, in their order."""
+        self._pending: dict[InstanceId, None] = {}
+        """Fronts to send the newest document to, in this order."""
 
-        self._turn_at = 0.0
-        self._turn_bytes = TURN_BYTES
+        self._send_at = 0.0
+        self._interval_bytes = PUSH_INTERVAL_BYTES
 
     def add_front(self, front: InstanceId) -> None:
-        """A front has a link, and nothing yet."""
+        """Add a newly linked front, which holds no document yet."""
         self._fronts[front] = _Front()
 
     def remove_front(self, front: InstanceId) -> None:
-        """The link to a front was lost."""
+        """Remove a front whose link was lost."""
         self._fronts.pop(front, None)
-        self._waiting.pop(front, None)
+        self._pending.pop(front, None)
 
-    def note_document(self, routing: Routing) -> None:
-        """A newer document holds."""
+    def record_document(self, routing: Routing) -> None:
+        """Set the newest document."""
         self.routing = routing
         self._history[routing.version] = routing
-        self._packed.clear()
+        self._updates_by_base.clear()
         while len(self._history) > KEPT_VERSIONS:
             oldest = min(v for v in self._history if v != EMPTY_ROUTING.version)
             del self._history[oldest]
 
     def subscribe(
-        self, front: InstanceId, held: RoutingVersion, *, is_wanted: bool
+        self, front: InstanceId, held_version: RoutingVersion, *, is_wanted: bool
     ) -> list[ToFront]:
-        """A front says what it holds; it is sent what is newer at once.
+        """Record the version that a front holds, and send a newer one immediately.
 
-        It may refuse requests until it has it, or has just taken the last one.
+        This is not paced: the front may refuse requests until it has the document.
         """
         state = self._fronts.get(front)
         if state is None:
             return []
         state.is_subscribed = is_wanted
-        state.held = held
-        state.sent = held
-        self._waiting.pop(front, None)
+        state.held_version = held_version
+        state.sent_version = held_version
+        self._pending.pop(front, None)
         return self._send(front, state)
 
     def push(self, now: float) -> list[ToFront]:
-        """Send the newest document to all who have the one before."""
-        # One document at a time to each front: a slow link gets only the newest.
-        self._waiting = dict.fromkeys(
+        """Start sending the newest document to the fronts that lack it."""
+        # A front with an unacknowledged document gets the newest when it subscribes
+        # again, so that a slow link skips versions.
+        self._pending = dict.fromkeys(
             front
             for front, state in self._fronts.items()
-            if state.sent == state.held and self._lacks(state)
+            if state.sent_version == state.held_version and self._lacks(state)
         )
-        turns = LONGEST_PUSH / TURN
-        self._turn_bytes = max(TURN_BYTES, math.ceil(self._count_bytes() / turns))
-        self._turn_at = now
+        intervals = MAX_PUSH_S / PUSH_INTERVAL_S
+        self._interval_bytes = max(
+            PUSH_INTERVAL_BYTES, math.ceil(self._count_bytes() / intervals)
+        )
+        self._send_at = now
         return self.advance(now)
 
     def advance(self, now: float) -> list[ToFront]:
-        """Send it to some more, if that is due."""
-        if not self._waiting or now < self._turn_at:
+        """Send the document to further fronts if the next interval is due."""
+        if not self._pending or now < self._send_at:
             return []
-        self._turn_at = now + TURN
+        self._send_at = now + PUSH_INTERVAL_S
         actions: list[ToFront] = []
-        room = self._turn_bytes
-        while self._waiting and room > 0:
-            front = next(iter(self._waiting))
-            del self._waiting[front]
+        budget_bytes = self._interval_bytes
+        while self._pending and budget_bytes > 0:
+            front = next(iter(self._pending))
+            del self._pending[front]
             for action in self._send(front, self._fronts[front]):
-                room -= len(action.message.packed)  # type: ignore[union-attr]
+                budget_bytes -= len(action.message.packed)  # type: ignore[union-attr]
                 actions.append(action)
         return actions
 
     def _count_bytes(self) -> int:
-        states = (self._fronts[front] for front in self._waiting)
-        return sum(len(self._find_news(state).packed) for state in states)
+        states = (self._fronts[front] for front in self._pending)
+        return sum(len(self._get_update(state).packed) for state in states)
 
     def _lacks(self, state: _Front) -> bool:
-        return state.is_subscribed and state.held < self.routing.version
+        return state.is_subscribed and state.held_version < self.routing.version
 
     def _send(self, front: InstanceId, state: _Front) -> list[ToFront]:
         if not self._lacks(state):
             return []
-        state.sent = self.routing.version
-        return [ToFront(front, self._find_news(state))]
-
-    def _find_news(self, state: _Front) -> RoutingNews:
-        base = self._history.get(state.held, EMPTY_ROUTING)
-        news = self._packed.get(base.version)
-        if news is None:
-            news = self._packed[base.version] = build_news(base, self.routing)
-        return news
+        state.sent_version = self.routing.version
+        return [ToFront(front, self._get_update(state))]
+
+    def _get_update(self, state: _Front) -> RoutingNews:
+        base = self._history.get(state.held_version, EMPTY_ROUTING)
+        update = self._updates_by_base.get(base.version)
+        if update is None:
+            update = self._updates_by_base[base.version] = build_news(
+                base, self.routing
+            )
+        return update
--- /dev/null
+++ b/src/scalebend/core/gateway/update_batch.py
@@ -0,0 +1,49 @@
+"""Batches updates of upstreams that go to many processes.
+
+When a deployment starts, all upstreams register within one heartbeat, and each control
+instance sends every change to every front. Batching bounds the number of messages. An
+update that comes alone is sent immediately.
+"""
+
+from __future__ import annotations
+
+import math
+
+from scalebend.models.endpoints import EndpointNews
+from scalebend.models.ids import UpstreamId
+
+BATCH_INTERVAL_S = 0.1
+"""Minimum interval of messages without urgent updates: far shorter than the interval of
+registrations and than the time for which a draining upstream still serves."""
+
+
+class UpdateBatch:
+    """Pending updates for the next message, the latest one of each upstream."""
+
+    def __init__(self) -> None:
+        self._held: dict[UpstreamId, EndpointNews] = {}
+        self._due_at = -math.inf
+
+    def add(self, updates: list[EndpointNews], now: float) -> list[EndpointNews]:
+        """Add updates; return those to send now.
+
+        Updates on draining or gone upstreams are urgent, since these must receive no
+        new requests.
+        """
+        for one in updates:
+            # Ordered by latest update, as an address may move between upstreams.
+            self._held.pop(one.endpoint.upstream, None)
+            self._held[one.endpoint.upstream] = one
+        if any(one.is_gone or one.endpoint.is_draining for one in updates):
+            return self._take(now)
+        return self.take_due(now)
+
+    def take_due(self, now: float) -> list[EndpointNews]:
+        """Take all pending updates if the next message is due."""
+        return self._take(now) if self._held and now >= self._due_at else []
+
+    def _take(self, now: float) -> list[EndpointNews]:
+        taken = list(self._held.values())
+        self._held.clear()
+        self._due_at = now + BATCH_INTERVAL_S
+        return taken
--- a/src/scalebend/core/gateway/upstream_exchange.py
+++ b/src/scalebend/core/gateway/upstream_exchange.py
@@ -1,7 +1,7 @@
-"""What one control instance knows of upstreams, and whom it tells what is new.
+"""The upstream directory of a control instance and the updates it publishes.
 
-Each control instance takes registrations and passes them on to the others; each tells
-the changes that follow to the fronts that are linked to it.
+A control instance forwards the registrations it accepts to the other control instances.
+Each of them sends the resulting changes to the fronts linked to it.
 """
 
 from __future__ import annotations
@@ -12,90 +12,97 @@
 import structlog
 
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
-from scalebend.core.gateway.news_batch import NewsBatch
+from scalebend.core.gateway.update_batch import UpdateBatch
 from scalebend.models.endpoints import Departure, Endpoint, EndpointNews
 from scalebend.models.ids import UpstreamId
 
 logger = structlog.get_logger(__name__)
 
-RESTORED_HEARTBEATS = 2
-"""Registrations an upstream may miss after a restart of this instance before what was
-known of it before counts no more: one may meet an instance that is not back yet."""
+RESTORED_LIFETIME_HEARTBEATS = 2
+"""Heartbeats after which restored upstreams expire unless they register again: a first
+registration may reach an instance that is still restarting."""
 
-HEARTBEATS_MISSED = 8
-"""Registrations an upstream may miss before it counts as gone. Fronts notice a dead
-one by themselves at once; this also spares upstreams that lost only their way to
-control, not to the fronts."""
+MAX_MISSED_HEARTBEATS = 8
+"""Registrations that an upstream may miss before it is gone. Fronts detect a crashed
+upstream themselves; the long timeout keeps upstreams that are partitioned from the
+control instances but not from the fronts."""
 
 
-class UpstreamNews(msgspec.Struct, frozen=True):
-    """What is to be told now, to all other control instances and to all fronts."""
+class UpstreamUpdates(msgspec.Struct, frozen=True):
+    """Updates to send now, to all other control instances and to all fronts."""
 
     to_peers: list[EndpointNews]
     to_fronts: list[EndpointNews]
 
 
 class UpstreamExchange:
-    """The directory of one control instance, and the news that wait to be told."""
+    """The directory of one control instance, and the pending updates."""
 
     def __init__(self, heartbeat_interval: float) -> None:
-        """``heartbeat_interval`` is the seconds between two registrations."""
-        self.directory = EndpointDirectory(HEARTBEATS_MISSED * heartbeat_interval)
-        self._restored_life = RESTORED_HEARTBEATS * heartbeat_interval
-        self._to_peers = NewsBatch()
-        self._to_fronts = NewsBatch()
+        """``heartbeat_interval`` is the interval of registrations in seconds."""
+        self.directory = EndpointDirectory(MAX_MISSED_HEARTBEATS * heartbeat_interval)
+        self._restored_lifetime_s = RESTORED_LIFETIME_HEARTBEATS * heartbeat_interval
+        self._to_peers = UpdateBatch()
+        self._to_fronts = UpdateBatch()
         self.changes = 0
-        """Changes of upstreams so far: the next outdates what is stored of them."""
+        """Number of upstream changes so far; a new value outdates stored copies."""
 
-    def restore(self, news: list[EndpointNews], now: float) -> None:
-        """Take what this instance knew before it was started again."""
-        self.directory.restore(news, self._restored_life, now)
+    def restore(self, updates: list[EndpointNews], now: float) -> None:
+        """Restore the upstreams known before a restart of this instance."""
+        self.directory.restore(updates, self._restored_lifetime_s, now)
         logger.info("upstreams restored", count=len(self.directory.list_ids()))
 
-    def register(self, endpoint: Endpoint, now: float) -> UpstreamNews:
-        """An upstream registered here; the others must hear that it lives."""
+    def register(self, endpoint: Endpoint, now: float) -> UpstreamUpdates:
+        """Register an upstream.
+
+        Peers receive each registration, even without a change, as a heartbeat.
+        """
         change = self.directory.register(endpoint, now)
         known = self.directory.get(endpoint.upstream)
         if known is None:
-            return UpstreamNews([], [])
-        return self._spread([EndpointNews(known, is_gone=False)], [change], now)
-
-    def leave(self, departure: Departure, now: float) -> UpstreamNews:
-        """An upstream says here that it leaves."""
-        change = self.directory.leave(departure, now)
-        return self._spread([change], [change], now)
-
-    def note_draining(self, upstreams: list[UpstreamId], now: float) -> UpstreamNews:
-        """A front heard upstreams say that they leave: so it is for all fronts."""
-        changes = [self.directory.note_draining(one) for one in upstreams]
-        return self._spread(changes, changes, now)
-
-    def merge(self, news: list[EndpointNews], now: float) -> UpstreamNews:
-        """Another control instance told what it heard, and tells the others itself."""
-        changes = [self.directory.merge(one, now) for one in news]
-        return self._spread([], changes, now)
-
-    def expire(self, now: float) -> UpstreamNews:
-        """Take out upstreams that are silent; the others find that by themselves."""
-        return self._spread([], self.directory.expire(now), now)
-
-    def take_due(self, now: float) -> UpstreamNews:
-        """What was held back and is to be told now."""
-        return UpstreamNews(self._to_peers.take_due(now), self._to_fronts.take_due(now))
+            return UpstreamUpdates([], [])
+        return self._queue([EndpointNews(known, is_gone=False)], [change], now)
+
+    def deregister(self, departure: Departure, now: float) -> UpstreamUpdates:
+        """Deregister an upstream."""
+        change = self.directory.deregister(departure, now)
+        return self._queue([change], [change], now)
+
+    def record_draining(
+        self, upstreams: list[UpstreamId], now: float
+    ) -> UpstreamUpdates:
+        """Record upstreams that announced to a front that they drain."""
+        changes = [self.directory.record_draining(one) for one in upstreams]
+        return self._queue(changes, changes, now)
+
+    def merge(self, updates: list[EndpointNews], now: float) -> UpstreamUpdates:
+        """Apply updates of a peer, which sends them to the other peers itself."""
+        changes = [self.directory.merge(one, now) for one in updates]
+        return self._queue([], changes, now)
+
+    def expire(self, now: float) -> UpstreamUpdates:
+        """Mark timed-out upstreams as gone; peers detect them by themselves."""
+        return self._queue([], self.directory.expire(now), now)
+
+    def take_due(self, now: float) -> UpstreamUpdates:
+        """Take the pending updates that are due."""
+        return UpstreamUpdates(
+            self._to_peers.take_due(now), self._to_fronts.take_due(now)
+        )
 
-    def _spread(
+    def _queue(
         self,
         to_peers: Iterable[EndpointNews | None],
         changes: Iterable[EndpointNews | None],
         now: float,
-    ) -> UpstreamNews:
-        told = [one for one in to_peers if one is not None]
+    ) -> UpstreamUpdates:
+        registrations = [one for one in to_peers if one is not None]
         published = [one for one in changes if one is not None]
         for change in published:
             _log_change(change)
         self.changes += len(published)
-        return UpstreamNews(
-            self._to_peers.add(told, now) if told else [],
+        return UpstreamUpdates(
+            self._to_peers.add(registrations, now) if registrations else [],
             self._to_fronts.add(published, now) if published else [],
         )
 
--- a/src/scalebend/core/upstream_news.py
+++ b/src/scalebend/core/upstream_news.py
@@ -75,7 +75,7 @@
     def advance(self, now: float) -> list[NewsAction]:
         """Run the owners' timers; drop upstreams that fell silent."""
         actions: list[NewsAction] = []
-        for record in self._entry.crashes.take_news():
+        for record in self._entry.crashes.take_updates():
             self._spread_crash(record)
         self._entry.crashes.ledger.expire(now)
         for upstream, owner in self._owners:
--- a/src/scalebend/edges/gateway/control_calls.py
+++ b/src/scalebend/edges/gateway/control_calls.py
@@ -83,7 +83,7 @@
         name = request.path.removeprefix(REGISTRATION_PREFIX)
         departure = decode_departure(name, await request.read())
         runtime.execute(
-            runtime.instance.remove(departure.name, runtime.now(), departure.born)
+            runtime.instance.deregister(departure.name, runtime.now(), departure.born)
         )
         return self._acknowledge_registration()
 
@@ -128,7 +128,7 @@
                 continue
             engines = runtime.instance.list_engines()
             found = await inspector.inspect(engines, runtime.now())
-            runtime.instance.note_inspection(found.paces, found.silent, runtime.now())
+            runtime.instance.record_inspection(found.paces, found.silent, runtime.now())
 
 
 @contextlib.asynccontextmanager
--- a/src/scalebend/edges/gateway/control_runtime.py
+++ b/src/scalebend/edges/gateway/control_runtime.py
@@ -87,7 +87,7 @@
         self.instance.upstreams.restore(read_upstreams(folder), self.now())
         self.instance.crashes.restore(read_crashes(folder), self.now())
         self._upstream_store = HintStore(
-            self.instance.directory.list_news, partial(write_upstreams, folder)
+            self.instance.directory.list_updates, partial(write_upstreams, folder)
         )
         self._crash_store = HintStore(
             self.instance.crashes.ledger.list_records, partial(write_crashes, folder)
@@ -149,7 +149,7 @@
         self.schedule_pump()
 
     def _introduce(self, instance: InstanceId) -> None:
-        self.execute(self.instance.introduce(instance))
+        self.execute(self.instance.sync_peer(instance))
 
     def _note_up(self, peer: Introduce) -> None:
         match peer.role:
@@ -238,7 +238,7 @@
 
     async def read_document(self) -> bytes:
         """As leader, return the newest document, confirmed by a quorum."""
-        reader = self.instance.ask_fresh(self.now())
+        reader = self.instance.request_fresh_read(self.now())
         future: asyncio.Future[None] = self._loop.create_future()
         self._readers[reader] = future
         try:
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -154,7 +154,9 @@
     def _compute_hold(self) -> float:
         """Seconds for which the request must not be sent, since it ends upstreams."""
         runtime = self._runtime
-        return runtime.instance.crashes.compute_hold(self._fingerprint, runtime.now())
+        return runtime.instance.crashes.compute_quarantine(
+            self._fingerprint, runtime.now()
+        )
 
     def _compute_backoff(self) -> float:
         """Seconds until any upstream of the service may be sent a request."""
--- a/src/scalebend/edges/gateway/relay_server.py
+++ b/src/scalebend/edges/gateway/relay_server.py
@@ -81,7 +81,7 @@
 
     def _receive(self, peer: Introduce, message: LinkMessage) -> None:
         if isinstance(message, Hello):
-            reply = self.instance.answer_hello(peer.instance, message)
+            reply = self.instance.reply_to_hello(peer.instance, message)
             self.server.send(peer.instance, reply)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -105,7 +105,7 @@
         address = settings.link_listen or settings.link_address
         links = run_links(address, runtime.server, runtime.dialer, runtime.run())
         await stack.enter_async_context(links)
-        await stack.enter_async_context(watch.tell(runtime.instance.note_seeds))
+        await stack.enter_async_context(watch.tell(runtime.instance.record_seeds))
         sock = Listeners().take(settings.control_address)
         await stack.enter_async_context(listen(sock, runtime.handle))
         logger.info("relay listens", instance=settings.name)
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -97,15 +97,15 @@
     assert len(list_to_fronts(first, EndpointChanges)) == 1
     again = single.instance.register(build_endpoint(sequence=2), single.now)
     assert not list_to_fronts(again, EndpointChanges)
-    left = single.instance.remove("i-1", single.now)
+    left = single.instance.deregister("i-1", single.now)
     (changes,) = list_to_fronts(left, EndpointChanges)
     assert changes.news[0].is_gone
 
 
 def test_new_link_between_control_instances_carries_everything(single):
     single.instance.register(build_endpoint(), single.now)
-    single.instance.remove("i-1", single.now)
-    (action,) = single.instance.introduce(InstanceId("10.1.0.2:7000"))
+    single.instance.deregister("i-1", single.now)
+    (action,) = single.instance.sync_peer(InstanceId("10.1.0.2:7000"))
     assert action.message.news[0].is_gone
 
 
@@ -162,7 +162,7 @@
 
 
 def test_reader_is_answered_after_a_quorum_confirmed(single):
-    reader = single.instance.ask_fresh(single.now)
+    reader = single.instance.request_fresh_read(single.now)
     confirmed = [a for a in single.run(0.3) if isinstance(a, ReadConfirmed)]
     assert confirmed == [ReadConfirmed([reader])]
 
--- a/tests/unit/gateway/test_crash_exchange.py
+++ b/tests/unit/gateway/test_crash_exchange.py
@@ -1,7 +1,7 @@
 """What one front saw of a request that ends replicas, all others know at once."""
 
-from scalebend.core.crash_ledger import MOST_ENDED
-from scalebend.core.gateway.crash_exchange import SPREAD_PERIOD, CrashExchange
+from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
+from scalebend.core.gateway.crash_exchange import SEND_INTERVAL_S, CrashExchange
 from scalebend.core.gateway.messages import CrashNews
 from scalebend.models.crashes import CrashRecord
 from scalebend.models.ids import Fingerprint, InstanceId, UpstreamId
@@ -18,14 +18,14 @@
 
 def list_holds(deployment):
     return [
-        front.crashes.compute_hold(CAUSE, deployment.now) > 0.0
+        front.crashes.compute_quarantine(CAUSE, deployment.now) > 0.0
         for front in deployment.fronts
     ]
 
 
 def test_replicas_that_ended_at_different_fronts_are_counted_together():
     deployment = build_deployment(fronts=4, replicas=6)
-    for number in range(MOST_ENDED):
+    for number in range(CRASHES_UNTIL_QUARANTINE):
         assert list_holds(deployment) == [False] * 4
         lose(deployment, number, f"i-{number}")
         deployment.run(0.05)
@@ -40,7 +40,7 @@
 
 def test_front_that_starts_is_told_what_is_held():
     deployment = build_deployment(fronts=2, replicas=6)
-    for number in range(MOST_ENDED):
+    for number in range(CRASHES_UNTIL_QUARANTINE):
         lose(deployment, 0, f"i-{number}")
     deployment.run(0.05)
     deployment.add_front(7)
@@ -50,7 +50,7 @@
 
 def test_leader_that_knows_nothing_is_told_by_the_fronts():
     deployment = build_deployment(fronts=2, replicas=6)
-    for number in range(MOST_ENDED - 1):
+    for number in range(CRASHES_UNTIL_QUARANTINE - 1):
         lose(deployment, number, f"i-{number}")
     deployment.run(0.05)
     deployment.leader.crashes = CrashExchange()
@@ -81,10 +81,10 @@
     sent = []
     for number in range(8):
         record = CrashRecord(Fingerprint(f"victim-{number}"), (UpstreamId("i-1"),))
-        now = number * SPREAD_PERIOD / 10
-        exchange.take(CrashNews([record], []), now)
+        now = number * SEND_INTERVAL_S / 10
+        exchange.receive(CrashNews([record], []), now)
         sent += exchange.send_due(fronts, [], now, is_leader=True)
-    sent += exchange.send_due(fronts, [], SPREAD_PERIOD, is_leader=True)
+    sent += exchange.send_due(fronts, [], SEND_INTERVAL_S, is_leader=True)
     assert len(sent) == 600
     told = [record for action in sent for record in action.message.records]
     assert len({record.fingerprint for record in told}) == 8
--- a/tests/unit/gateway/test_draining_by_answers.py
+++ b/tests/unit/gateway/test_draining_by_answers.py
@@ -63,7 +63,7 @@
     directory.register(ready, 0.0)
     assert directory.expire(6.0)
     # The answer to a request that was sent before it fell silent.
-    directory.note_draining(ready.upstream)
+    directory.record_draining(ready.upstream)
     directory.register(msgspec.structs.replace(ready, sequence=2), 7.0)
     assert not directory.is_usable(ready.upstream)
 
--- a/tests/unit/gateway/test_endpoint_directory.py
+++ b/tests/unit/gateway/test_endpoint_directory.py
@@ -95,7 +95,7 @@
         assert list_ids(self.told) == list_ids(self.heard)
         # A process that starts now learns the same.
         fresh = EndpointDirectory(1_000.0)
-        for news in self.heard.list_news():
+        for news in self.heard.list_updates():
             copy = msgspec.msgpack.decode(
                 msgspec.msgpack.encode(news), type=EndpointNews
             )
@@ -166,7 +166,7 @@
 
 def test_front_follows_control_when_an_address_goes_back_and_forth():
     # A front hears of each change once, and must end with what control ends with.
-    front = EndpointDirectory(10.0, heard_again=1)
+    front = EndpointDirectory(10.0, registrations_to_regain_address=1)
     true, ghost = at_address(2, sequence=4), at_address(1, sequence=9)
     front.merge(EndpointNews(at_address(1, sequence=1), False), 0.0)
     front.merge(EndpointNews(true, False), 1.0)
@@ -184,7 +184,7 @@
         before.register(build_endpoint(number), 0.0)
     before.remove("i-3", 1.0)
     after = EndpointDirectory(9.6)
-    after.restore(before.list_news(), 2.4, 100.0)
+    after.restore(before.list_updates(), 2.4, 100.0)
     assert {e.upstream for e in after.list_usable(SERVICE)} == {"i-1", "i-2"}
     after.register(build_endpoint(1, sequence=2), 101.0)
     # Who said that it leaves does not come back, whatever arrives late.
--- a/tests/unit/gateway/test_incarnations.py
+++ b/tests/unit/gateway/test_incarnations.py
@@ -66,8 +66,8 @@
 def test_next_life_is_usable_after_draining_leaving_silence_and_death():
     ends = [
         lambda d: d.register(build_life(1, sequence=41, is_draining=True), 1.0),
-        lambda d: d.leave(Departure("i-1", None), 1.0),
-        lambda d: d.leave(Departure("i-1", BORN + 1), 1.0),
+        lambda d: d.deregister(Departure("i-1", None), 1.0),
+        lambda d: d.deregister(Departure("i-1", BORN + 1), 1.0),
         lambda d: d.expire(11.0),
         lambda d: None,
     ]
@@ -85,7 +85,7 @@
     directory.register(build_life(2), 1.0)
     late = build_life(1, sequence=99, is_draining=True)
     assert directory.register(late, 1.5) is None
-    assert directory.leave(Departure("i-1", BORN + 1), 1.5) is None
+    assert directory.deregister(Departure("i-1", BORN + 1), 1.5) is None
     assert directory.merge(EndpointNews(late, is_gone=True), 1.5) is None
     # Another writer, or a life of before the platform told starts.
     assert directory.register(build_life(0, sequence=99), 1.5) is None
@@ -107,7 +107,7 @@
     directory = EndpointDirectory(10.0)
     directory.register(build_life(0, sequence=4), 0.0)
     assert directory.register(build_life(0, sequence=3), 1.0) is None
-    directory.leave(Departure("i-1", None), 2.0)
+    directory.deregister(Departure("i-1", None), 2.0)
     assert directory.register(build_life(0, sequence=9), 3.0) is None
     assert not list_ids(directory)
 
@@ -163,7 +163,7 @@
     def __init__(self):
         super().__init__()
         self.controls = [EndpointDirectory(1_000.0) for _ in range(2)]
-        self.front = EndpointDirectory(1_000.0, heard_again=1)
+        self.front = EndpointDirectory(1_000.0, registrations_to_regain_address=1)
         self.spread = []
         self.told = []
         self.life = 1
@@ -210,7 +210,7 @@
 
     @rule(message=sent, number=st.integers(0, 1))
     def leave(self, message, number):
-        change = self.controls[number].leave(Departure("i-1", message.born), 0.0)
+        change = self.controls[number].deregister(Departure("i-1", message.born), 0.0)
         if change is not None:
             self.ended.add(message.born - BORN)
             self.spread.append((1 - number, change))
@@ -253,7 +253,7 @@
             ):
                 assert list_ids(directory) == expected
         fresh = EndpointDirectory(1_000.0)
-        for news in self.front.list_news():
+        for news in self.front.list_updates():
             data = msgspec.msgpack.encode(news)
             fresh.merge(msgspec.msgpack.decode(data, type=EndpointNews), 0.0)
         assert list_ids(fresh) == expected
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -63,7 +63,7 @@
         if not keep:
             del self.flights[position]
         if isinstance(message, Hello) and not {sender, to} & self.cut:
-            reply = self.relays[to].answer_hello(sender, message)
+            reply = self.relays[to].reply_to_hello(sender, message)
             self.flights.append((to, sender, reply))
 
     def introduce_relays(self):
--- a/tests/unit/gateway/test_routing_push.py
+++ b/tests/unit/gateway/test_routing_push.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from scalebend.core.gateway.catalogue_push import FOLLOWER_DELAY, CataloguePush
+from scalebend.core.gateway.catalog_push import FOLLOWER_DELAY_S, CatalogPush
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.routing_push import (
-    LONGEST_PUSH,
-    TURN,
-    TURN_BYTES,
+    MAX_PUSH_S,
+    PUSH_INTERVAL_BYTES,
+    PUSH_INTERVAL_S,
     RoutingPush,
 )
 from scalebend.edges.gateway.links import _build_frame
@@ -40,7 +40,7 @@
 @pytest.fixture
 def push():
     push = RoutingPush()
-    push.note_document(build_routing(1))
+    push.record_document(build_routing(1))
     for front in FRONTS:
         push.add_front(front)
         push.subscribe(front, 1, is_wanted=True)
@@ -51,7 +51,7 @@
     """All that is sent, by turn."""
     turns = [push.push(now)]
     while len(turns) < 500:
-        now += TURN
+        now += PUSH_INTERVAL_S
         turns.append(push.advance(now))
         if not turns[-1]:
             return turns[:-1]
@@ -59,28 +59,28 @@
 
 
 def test_small_document_goes_to_all_fronts_at_once(push):
-    push.note_document(build_routing(2))
+    push.record_document(build_routing(2))
     (sent,) = play(push)
     assert [action.front for action in sent] == FRONTS
 
 
 def test_large_document_leaves_room_on_the_link(push):
-    push.note_document(build_large(2, 920))
+    push.record_document(build_large(2, 920))
     turns = play(push)
     assert [action.front for sent in turns for action in sent] == FRONTS
     for sent in turns:
         sizes = [len(action.message.packed) for action in sent]
-        assert sum(sizes[:-1]) < TURN_BYTES
+        assert sum(sizes[:-1]) < PUSH_INTERVAL_BYTES
     assert len(turns) > 10
 
 
 def test_largest_document_is_out_within_the_time_for_all(push):
-    push.note_document(build_large(2, 6_000))
-    assert len(play(push)) * TURN <= LONGEST_PUSH + 2 * TURN
+    push.record_document(build_large(2, 6_000))
+    assert len(play(push)) * PUSH_INTERVAL_S <= MAX_PUSH_S + 2 * PUSH_INTERVAL_S
 
 
 def test_front_that_asks_gets_a_large_document_at_once(push):
-    push.note_document(build_large(2, 920))
+    push.record_document(build_large(2, 920))
     push.push(10.0)
     (sent,) = push.subscribe(FRONTS[-1], 1, is_wanted=True)
     assert sent.message.version == 2
@@ -89,15 +89,15 @@
 
 
 def test_newer_document_takes_the_place_of_one_that_still_goes_out(push):
-    push.note_document(build_large(2, 920))
+    push.record_document(build_large(2, 920))
     push.push(10.0)
-    push.note_document(build_large(3, 920))
+    push.record_document(build_large(3, 920))
     versions = {a.message.version for turn in play(push, 10.0) for a in turn}
     assert versions == {3}
 
 
 def test_front_that_is_gone_is_sent_nothing(push):
-    push.note_document(build_large(2, 920))
+    push.record_document(build_large(2, 920))
     push.push(10.0)
     push.remove_front(FRONTS[-1])
     assert FRONTS[-1] not in {a.front for turn in play(push) for a in turn}
@@ -111,43 +111,43 @@
     return directory
 
 
-def send_due(catalogues, directory, now, *, is_leader, changes=155):
-    return catalogues.send_due(directory, changes, now, is_leader=is_leader)
+def send_due(catalogs, directory, now, *, is_leader, changes=155):
+    return catalogs.send_due(directory, changes, now, is_leader=is_leader)
 
 
 def test_leader_sends_all_upstreams_at_once_and_others_later(directory):
-    catalogues = CataloguePush()
-    catalogues.add_front(FRONTS[0], 0.0)
-    assert not send_due(catalogues, directory, 0.5, is_leader=False)
-    (sent,) = send_due(catalogues, directory, FOLLOWER_DELAY, is_leader=False)
+    catalogs = CatalogPush()
+    catalogs.add_front(FRONTS[0], 0.0)
+    assert not send_due(catalogs, directory, 0.5, is_leader=False)
+    (sent,) = send_due(catalogs, directory, FOLLOWER_DELAY_S, is_leader=False)
     assert len(sent.message.news) == 155
-    catalogues.add_front(FRONTS[1], 5.0)
-    assert len(send_due(catalogues, directory, 5.0, is_leader=True)) == 1
-    assert not send_due(catalogues, directory, 9.0, is_leader=True)
+    catalogs.add_front(FRONTS[1], 5.0)
+    assert len(send_due(catalogs, directory, 5.0, is_leader=True)) == 1
+    assert not send_due(catalogs, directory, 9.0, is_leader=True)
 
 
 def test_front_that_left_is_sent_no_upstreams(directory):
-    catalogues = CataloguePush()
-    catalogues.add_front(FRONTS[0], 0.0)
-    catalogues.remove_front(FRONTS[0])
-    assert not send_due(catalogues, directory, 5.0, is_leader=True)
+    catalogs = CatalogPush()
+    catalogs.add_front(FRONTS[0], 0.0)
+    catalogs.remove_front(FRONTS[0])
+    assert not send_due(catalogs, directory, 5.0, is_leader=True)
 
 
 def test_upstreams_are_listed_once_for_all_who_start_together(directory):
-    catalogues = CataloguePush()
+    catalogs = CatalogPush()
     for front in FRONTS[:2]:
-        catalogues.add_front(front, 0.0)
-    first, second = send_due(catalogues, directory, 0.0, is_leader=True)
+        catalogs.add_front(front, 0.0)
+    first, second = send_due(catalogs, directory, 0.0, is_leader=True)
     assert first.message is second.message
-    catalogues.add_front(FRONTS[2], 0.01)
-    (third,) = send_due(catalogues, directory, 0.01, is_leader=True)
+    catalogs.add_front(FRONTS[2], 0.01)
+    (third,) = send_due(catalogs, directory, 0.01, is_leader=True)
     assert third.message is first.message
-    catalogues.add_front(FRONTS[3], 0.02)
-    (changed,) = send_due(catalogues, directory, 0.02, is_leader=True, changes=156)
+    catalogs.add_front(FRONTS[3], 0.02)
+    (changed,) = send_due(catalogs, directory, 0.02, is_leader=True, changes=156)
     assert changed.message is not first.message
 
 
 def test_all_upstreams_fit_a_few_milliseconds_of_a_front_s_link(directory):
-    frame = _build_frame(EndpointChanges(directory.list_news()))
+    frame = _build_frame(EndpointChanges(directory.list_updates()))
     # 10 Mbit/s: 1,250 bytes a millisecond.
     assert len(frame) < 5 * 1250
--- a/tests/unit/gateway/test_silent_ends.py
+++ b/tests/unit/gateway/test_silent_ends.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from scalebend.core.crash_ledger import MOST_ENDED
+from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.unanswered_attempts import LIFE, UnansweredAttempts
 from scalebend.models.endpoints import EndpointNews
@@ -51,14 +51,14 @@
 
 async def test_replicas_that_fall_silent_under_a_request_count_once_they_are_gone():
     async with run_plain_front() as front, serve(hang) as silent:
-        await end_silently(front, silent, MOST_ENDED)
+        await end_silently(front, silent, CRASHES_UNTIL_QUARANTINE)
         front.add(9, silent)
         await send(front, 503)
 
 
 async def test_replica_that_another_took_the_address_of_counts():
     async with run_plain_front() as front, serve(hang) as silent:
-        for number in range(1, MOST_ENDED + 1):
+        for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             front.add(number, silent)
             await send(front, 504)
             tell(front, EndpointNews(build_endpoint(number + 1, address=silent), False))
@@ -67,7 +67,7 @@
 
 async def test_replica_that_left_as_planned_does_not_count():
     async with run_plain_front() as front, serve(hang) as silent:
-        await end_silently(front, silent, MOST_ENDED, is_draining=True)
+        await end_silently(front, silent, CRASHES_UNTIL_QUARANTINE, is_draining=True)
         front.add(9, silent)
         await send(front, 504)
 
@@ -75,7 +75,7 @@
 async def test_silence_of_a_replica_that_stays_does_not_count():
     async with run_plain_front() as front, serve(hang) as silent:
         front.add(1, silent)
-        for _ in range(MOST_ENDED + 1):
+        for _ in range(CRASHES_UNTIL_QUARANTINE + 1):
             await send(front, 504)
 
 
@@ -85,15 +85,17 @@
         serve(hang) as silent,
         serve(answer_sealed) as good,
     ):
-        for number in range(1, MOST_ENDED + 1):
+        for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             front.add(number, silent)
             await send(front, 504)
-        names = [build_endpoint(n).upstream for n in range(1, MOST_ENDED + 1)]
+        names = [
+            build_endpoint(n).upstream for n in range(1, CRASHES_UNTIL_QUARANTINE + 1)
+        ]
         for name in names:
             front.runtime.instance.directory.remove(name, front.runtime.now())
         front.add(9, good)
         await send(front, 200)
-        for number in range(1, MOST_ENDED + 1):
+        for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             gone = build_endpoint(number, address=silent)
             tell(front, EndpointNews(gone, is_gone=True))
         await send(front, 200)
--- a/tests/unit/gateway/test_news_batch.py
+++ b/tests/unit/gateway/test_update_batch.py
@@ -9,7 +9,7 @@
 from scalebend.core.gateway.control_actions import ToFront
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.messages import EndpointChanges
-from scalebend.core.gateway.news_batch import BATCH_PERIOD, NewsBatch
+from scalebend.core.gateway.update_batch import BATCH_INTERVAL_S, UpdateBatch
 from scalebend.models.endpoints import EndpointNews
 from tests.lib.gateway_builders import SERVICE, build_endpoint
 from tests.unit.gateway.test_control_instance import FRONT, Single
@@ -36,15 +36,15 @@
         sent += single.instance.register(endpoint, now)
         if number % 50 == 0:
             sent += single.instance.advance(now)
-    sent += single.instance.advance(began + HEARTBEAT + BATCH_PERIOD)
+    sent += single.instance.advance(began + HEARTBEAT + BATCH_INTERVAL_S)
     messages = [
         one.message
         for one in sent
         if isinstance(one, ToFront) and isinstance(one.message, EndpointChanges)
     ]
     # The first is told of at once, and the catalogue of a front comes with the others.
-    assert len(messages) <= HEARTBEAT / BATCH_PERIOD + 4
-    front = EndpointDirectory(100.0, heard_again=1)
+    assert len(messages) <= HEARTBEAT / BATCH_INTERVAL_S + 4
+    front = EndpointDirectory(100.0, registrations_to_regain_address=1)
     for message in messages:
         for news in message.news:
             front.merge(news, began)
@@ -52,14 +52,14 @@
 
 
 def test_news_alone_are_sent_at_once():
-    batch = NewsBatch()
+    batch = UpdateBatch()
     assert batch.add([build_news(1)], 0.0) == [build_news(1)]
-    assert batch.add([build_news(2)], BATCH_PERIOD) == [build_news(2)]
+    assert batch.add([build_news(2)], BATCH_INTERVAL_S) == [build_news(2)]
     assert batch.take_due(9.0) == []
 
 
 def test_upstream_that_leaves_is_told_of_at_once_after_what_was_held():
-    batch = NewsBatch()
+    batch = UpdateBatch()
     batch.add([build_news(1)], 0.0)
     assert batch.add([build_news(2)], 0.01) == []
     drains = build_news(3, is_draining=True)
@@ -76,8 +76,11 @@
 
 @given(EVENTS)
 def test_receiver_ends_with_the_last_word_on_each_upstream(events):
-    batch, true = NewsBatch(), EndpointDirectory(100.0, heard_again=1)
-    told = EndpointDirectory(100.0, heard_again=1)
+    batch, true = (
+        UpdateBatch(),
+        EndpointDirectory(100.0, registrations_to_regain_address=1),
+    )
+    told = EndpointDirectory(100.0, registrations_to_regain_address=1)
     now = 0.0
     for sequence, (number, pause, drains, asks) in enumerate(events, 1):
         now += pause
@@ -90,6 +93,6 @@
             told.merge(news, now)
         if drains:
             assert sent[-1:] == [one]
-    for news in batch.take_due(now + BATCH_PERIOD):
+    for news in batch.take_due(now + BATCH_INTERVAL_S):
         told.merge(news, now)
     assert list_ids(told) == list_ids(true)
--- a/tests/unit/test_entry.py
+++ b/tests/unit/test_entry.py
@@ -427,7 +427,7 @@
     request = build_request("r", content="cause")
     (work,) = list_reserved(entry.admit(request, 0.0))
     for number in range(3):
-        entry.crashes.note_lost(request, f"engine-{number}", 1, 0.0)
+        entry.crashes.record_crash(request, f"engine-{number}", 1, 0.0)
     actions = entry.handle_grant(Grant(work.attempt, work.upstream, 2.0), 0.0)
     assert find(actions, StartAttempt) is None
     assert find(actions, Conclude).error.ran is Ran.NO
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -2,7 +2,7 @@
 
 from scalebend.core.claims import Claim
 from scalebend.core.consensus.messages import DiskId, HardState, Recovered
-from scalebend.core.crash_ledger import MOST_ENDED
+from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
 from scalebend.core.instance import Instance
 from scalebend.core.messages import Datagram
 from scalebend.exceptions import ErrorKind
@@ -53,9 +53,9 @@
 
 
 def end_engines(instance, request):
-    for number in range(MOST_ENDED):
+    for number in range(CRASHES_UNTIL_QUARANTINE):
         name = UpstreamId(f"engine-{number}")
-        instance.entry.crashes.note_lost(request, name, Incarnation(1), 1.0)
+        instance.entry.crashes.record_crash(request, name, Incarnation(1), 1.0)
 
 
 def pass_rumors(sender, receiver):
@@ -71,11 +71,14 @@
     end_engines(here, request)
     pass_rumors(here, there)
     pass_rumors(there, third)
-    assert third.entry.crashes.find_hold(request, 1.0).kind is ErrorKind.ENDS_UPSTREAMS
+    assert (
+        third.entry.crashes.find_quarantine(request, 1.0).kind
+        is ErrorKind.ENDS_UPSTREAMS
+    )
     # One that an engine answered after all is cleared in the same way.
-    there.entry.crashes.note_answered(request, 1.0)
+    there.entry.crashes.record_response(request, 1.0)
     pass_rumors(there, here)
-    assert here.entry.crashes.find_hold(request, 1.0) is None
+    assert here.entry.crashes.find_quarantine(request, 1.0) is None
 
 
 def test_instance_that_starts_is_told_of_them_with_the_upstreams():
@@ -83,4 +86,4 @@
     here, starting = build_instance("a"), build_instance("b")
     end_engines(here, request)
     starting.news.take_page(here.news.build_page(), 2.0)
-    assert starting.entry.crashes.find_hold(request, 2.0) is not None
+    assert starting.entry.crashes.find_quarantine(request, 2.0) is not None
