--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -1,4 +1,4 @@
-"""A control instance: who hears of upstreams, what fronts get, when it confirms."""
+"""A control instance: updates to peers and fronts, leases, and placement."""
 
 import pytest
 
@@ -42,8 +42,8 @@
 OTHER_FRONT = InstanceId("10.1.0.8:7000")
 
 
-class Single:
-    """A group of one member, whose clock and writes the test drives."""
+class SingleMemberGroup:
+    """A control group with one member; the test drives its clock and writes."""
 
     def __init__(self, peers=()):
         recovered = Recovered(DiskId("d"), HardState(Term(0), None), None, [])
@@ -69,14 +69,14 @@
 
 
 @pytest.fixture
-def single():
-    single = Single()
-    single.run()
-    assert single.instance.is_leader
-    return single
+def group():
+    group = SingleMemberGroup()
+    group.run()
+    assert group.instance.is_leader
+    return group
 
 
-def list_to_fronts(actions, kind):
+def list_messages_to_fronts(actions, kind):
     return [
         a.message
         for a in actions
@@ -85,193 +85,197 @@
 
 
 def test_instance_without_a_group_acknowledges_no_registrations():
-    alone = Single(peers=["10.1.0.2:7000", "10.1.0.3:7000"])
-    alone.run(3.0)
-    assert not alone.instance.may_acknowledge()
-
-
-def test_leader_takes_registrations_and_tells_fronts_only_changes(single):
-    assert single.instance.may_acknowledge()
-    single.instance.add_front(FRONT, single.now)
-    first = single.instance.register(build_endpoint(), single.now)
-    assert len(list_to_fronts(first, EndpointChanges)) == 1
-    again = single.instance.register(build_endpoint(sequence=2), single.now)
-    assert not list_to_fronts(again, EndpointChanges)
-    left = single.instance.deregister("i-1", single.now)
-    (changes,) = list_to_fronts(left, EndpointChanges)
+    isolated = SingleMemberGroup(peers=["10.1.0.2:7000", "10.1.0.3:7000"])
+    isolated.run(3.0)
+    assert not isolated.instance.may_acknowledge()
+
+
+def test_leader_sends_fronts_only_changes_of_registrations(group):
+    assert group.instance.may_acknowledge()
+    group.instance.add_front(FRONT, group.now)
+    first = group.instance.register(build_endpoint(), group.now)
+    assert len(list_messages_to_fronts(first, EndpointChanges)) == 1
+    repeated = group.instance.register(build_endpoint(sequence=2), group.now)
+    assert not list_messages_to_fronts(repeated, EndpointChanges)
+    left = group.instance.deregister("i-1", group.now)
+    (changes,) = list_messages_to_fronts(left, EndpointChanges)
     assert changes.news[0].is_gone
 
 
-def test_new_link_between_control_instances_carries_everything(single):
-    single.instance.register(build_endpoint(), single.now)
-    single.instance.deregister("i-1", single.now)
-    (action,) = single.instance.sync_peer(InstanceId("10.1.0.2:7000"))
+def test_new_link_between_control_instances_carries_the_full_state(group):
+    group.instance.register(build_endpoint(), group.now)
+    group.instance.deregister("i-1", group.now)
+    (action,) = group.instance.sync_peer(InstanceId("10.1.0.2:7000"))
     assert action.message.news[0].is_gone
 
 
-def test_upstream_that_others_hear_is_told_to_fronts(single):
-    single.instance.add_front(FRONT, single.now)
+def test_registration_from_a_peer_is_sent_to_fronts(group):
+    group.instance.add_front(FRONT, group.now)
     message = Registrations([EndpointNews(build_endpoint(), is_gone=False)])
-    actions = single.instance.handle_peer("x", message, single.now, 0.0)
-    assert len(list_to_fronts(actions, EndpointChanges)) == 1
+    actions = group.instance.handle_peer("x", message, group.now, 0.0)
+    assert len(list_messages_to_fronts(actions, EndpointChanges)) == 1
 
 
-def test_front_gets_one_document_at_a_time_and_then_the_newest(single):
-    single.instance.add_front(FRONT, single.now)
-    single.instance.handle_front(FRONT, Subscribe(0), single.now)
-    sent = list_to_fronts(single.put(build_routing(1)), RoutingNews)
+def test_front_gets_one_document_at_a_time_and_then_the_newest(group):
+    group.instance.add_front(FRONT, group.now)
+    group.instance.handle_front(FRONT, Subscribe(0), group.now)
+    sent = list_messages_to_fronts(group.put(build_routing(1)), RoutingNews)
     assert [news.version for news in sent] == [1]
     routes = [build_route(path_prefix=f"/{n}/") for n in range(3)]
     for version in (2, 3, 4):
-        assert not list_to_fronts(
-            single.put(build_routing(version, routes[: version - 1])), RoutingNews
+        assert not list_messages_to_fronts(
+            group.put(build_routing(version, routes[: version - 1])), RoutingNews
         )
-    actions = single.instance.handle_front(FRONT, Subscribe(1), single.now)
-    (news,) = list_to_fronts(actions, RoutingNews)
+    actions = group.instance.handle_front(FRONT, Subscribe(1), group.now)
+    (news,) = list_messages_to_fronts(actions, RoutingNews)
     assert (news.base, news.version) == (1, 4)
 
 
-def test_change_is_packed_once_for_all_fronts(single):
+def test_change_is_packed_once_for_all_fronts(group):
     fronts = [InstanceId(f"10.1.1.{n}:7000") for n in range(3)]
     for front in fronts:
-        single.instance.add_front(front, single.now)
-        single.instance.handle_front(front, Subscribe(0), single.now)
-    first, *others = list_to_fronts(single.put(build_routing(1)), RoutingNews)
+        group.instance.add_front(front, group.now)
+        group.instance.handle_front(front, Subscribe(0), group.now)
+    first, *others = list_messages_to_fronts(group.put(build_routing(1)), RoutingNews)
     assert len(others) == 2
     assert all(news is first for news in others)
     for front in fronts:
-        single.instance.handle_front(front, Subscribe(1), single.now)
-    (second, *_) = list_to_fronts(single.put(build_routing(2)), RoutingNews)
+        group.instance.handle_front(front, Subscribe(1), group.now)
+    (second, *_) = list_messages_to_fronts(group.put(build_routing(2)), RoutingNews)
     assert (second.base, second.version) == (1, 2)
 
 
-def test_documents_that_arrive_again_change_nothing(single):
-    ends = [a for a in single.put(build_routing(5)) if isinstance(a, ProposalEnded)]
-    ends += [a for a in single.put(build_routing(3)) if isinstance(a, ProposalEnded)]
+def test_older_document_is_not_applied(group):
+    ends = [a for a in group.put(build_routing(5)) if isinstance(a, ProposalEnded)]
+    ends += [a for a in group.put(build_routing(3)) if isinstance(a, ProposalEnded)]
     assert [end.held for end in ends] == [5, 5]
-    assert single.instance.routing.version == 5
+    assert group.instance.routing.version == 5
 
 
-def test_lease_names_the_newest_document(single):
-    single.put(build_routing(5))
-    single.instance.add_front(FRONT, single.now)
-    actions = single.instance.handle_front(FRONT, LeaseQuestion(7.5), single.now)
-    actions += single.run(0.3)
-    (answer,) = list_to_fronts(actions, LeaseAnswer)
-    assert answer == LeaseAnswer(7.5, 5)
+def test_lease_names_the_newest_document(group):
+    group.put(build_routing(5))
+    group.instance.add_front(FRONT, group.now)
+    actions = group.instance.handle_front(FRONT, LeaseQuestion(7.5), group.now)
+    actions += group.run(0.3)
+    (reply,) = list_messages_to_fronts(actions, LeaseAnswer)
+    assert reply == LeaseAnswer(7.5, 5)
 
 
-def test_reader_is_answered_after_a_quorum_confirmed(single):
-    reader = single.instance.request_fresh_read(single.now)
-    confirmed = [a for a in single.run(0.3) if isinstance(a, ReadConfirmed)]
+def test_read_is_confirmed_after_a_quorum_confirmed_the_leader(group):
+    reader = group.instance.request_fresh_read(group.now)
+    confirmed = [a for a in group.run(0.3) if isinstance(a, ReadConfirmed)]
     assert confirmed == [ReadConfirmed([reader])]
 
 
-def test_leader_places_and_learns_ends(single):
-    single.put(build_routing(1, services=[build_service(engine=PROFILE)]))
-    single.instance.register(build_endpoint(), single.now)
-    single.instance.add_front(FRONT, single.now)
+def test_leader_places_a_job_and_records_its_end(group):
+    group.put(build_routing(1, services=[build_service(engine=PROFILE)]))
+    group.instance.register(build_endpoint(), group.now)
+    group.instance.add_front(FRONT, group.now)
     work = build_quick(1)
-    actions = single.instance.handle_front(FRONT, PlaceQuestion(work), single.now)
-    (answer,) = list_to_fronts(actions, PlaceAnswer)
-    assert answer.placement.upstream == "i-1"
+    actions = group.instance.handle_front(FRONT, PlaceQuestion(work), group.now)
+    (reply,) = list_messages_to_fronts(actions, PlaceAnswer)
+    assert reply.placement.upstream == "i-1"
     stages = JobStages([JobStage(work.job, is_ended=True)])
-    single.instance.handle_front(FRONT, stages, single.now)
-    assert single.instance.scheduler.open_jobs == 0
+    group.instance.handle_front(FRONT, stages, group.now)
+    assert group.instance.scheduler.open_jobs == 0
 
 
-def test_heartbeat_tells_the_busiest_replicas(single):
-    single.put(build_routing(1, services=[build_service(engine=PROFILE)]))
-    single.instance.register(build_endpoint(), single.now)
-    single.instance.add_front(FRONT, single.now)
-    single.instance.handle_front(FRONT, PlaceQuestion(build_quick(1)), single.now)
-    news = list_to_fronts(single.run(0.6), ControlNews)
+def test_heartbeat_lists_the_busiest_replicas(group):
+    group.put(build_routing(1, services=[build_service(engine=PROFILE)]))
+    group.instance.register(build_endpoint(), group.now)
+    group.instance.add_front(FRONT, group.now)
+    group.instance.handle_front(FRONT, PlaceQuestion(build_quick(1)), group.now)
+    news = list_messages_to_fronts(group.run(0.6), ControlNews)
     assert [busy.upstream for busy in news[0].busy] == ["i-1"]
 
 
 @pytest.fixture
-def learning():
-    """A member that has just won the lead, with two fronts linked before."""
-    learning = Single()
-    learning.instance.add_front(FRONT, 0.0)
-    learning.instance.add_front(OTHER_FRONT, 0.0)
-    while not learning.instance.is_leader:
-        learning.run(0.05)
+def new_leader():
+    """A newly elected leader to which two fronts were linked before."""
+    new_leader = SingleMemberGroup()
+    new_leader.instance.add_front(FRONT, 0.0)
+    new_leader.instance.add_front(OTHER_FRONT, 0.0)
+    while not new_leader.instance.is_leader:
+        new_leader.run(0.05)
     routing = build_routing(1, services=[build_service(engine=PROFILE)])
-    learning.put(routing)
+    new_leader.put(routing)
     for number in range(1, 5):
-        learning.instance.register(build_endpoint(number), learning.now)
-    return learning
+        new_leader.instance.register(build_endpoint(number), new_leader.now)
+    return new_leader
 
 
-def ask(single, number):
-    question = PlaceQuestion(build_quick(number))
-    (action,) = single.instance.handle_front(FRONT, question, single.now)
+def request_placement(group, number):
+    request = PlaceQuestion(build_quick(number))
+    (action,) = group.instance.handle_front(FRONT, request, group.now)
     return action.message
 
 
-def test_new_leader_places_once_it_heard_what_is_open(learning):
-    instance, now = learning.instance, learning.now
-    assert ask(learning, 1).placement is None
+def test_new_leader_places_once_all_fronts_reported_open_jobs(new_leader):
+    instance, now = new_leader.instance, new_leader.now
+    assert request_placement(new_leader, 1).placement is None
     instance.handle_front(FRONT, OpenJobs([]), now)
-    assert ask(learning, 2).placement is None
+    assert request_placement(new_leader, 2).placement is None
     instance.handle_front(OTHER_FRONT, OpenJobs([]), now)
-    assert ask(learning, 3).placement is not None
+    assert request_placement(new_leader, 3).placement is not None
 
 
-def test_front_that_tells_nothing_holds_the_new_leader_up_only_briefly(learning):
-    learning.instance.handle_front(FRONT, OpenJobs([]), learning.now)
-    learning.now += LEARNING_TIME
-    assert ask(learning, 1).placement is not None
+def test_front_that_reports_nothing_delays_the_new_leader_only_briefly(new_leader):
+    new_leader.instance.handle_front(FRONT, OpenJobs([]), new_leader.now)
+    new_leader.now += LEARNING_TIME
+    assert request_placement(new_leader, 1).placement is not None
 
 
-def test_front_that_is_gone_holds_nobody_up(learning):
-    learning.instance.handle_front(FRONT, OpenJobs([]), learning.now)
-    learning.instance.remove_front(OTHER_FRONT, learning.now)
-    assert ask(learning, 1).placement is not None
+def test_front_that_is_gone_does_not_delay_the_new_leader(new_leader):
+    new_leader.instance.handle_front(FRONT, OpenJobs([]), new_leader.now)
+    new_leader.instance.remove_front(OTHER_FRONT, new_leader.now)
+    assert request_placement(new_leader, 1).placement is not None
 
 
-def test_jobs_told_before_the_next_tick_are_not_forgotten():
-    single = Single()
-    single.instance.add_front(FRONT, 0.0)
-    # A member may win the lead by a message, between two ticks.
-    while not single.instance.is_leader:
-        single.now += 0.05
-        single.instance.member.advance(single.now)
-        single.pump()
-    single.put(build_routing(1, services=[build_service(engine=PROFILE)]))
+def test_jobs_reported_before_the_next_tick_are_kept():
+    group = SingleMemberGroup()
+    group.instance.add_front(FRONT, 0.0)
+    # A message may make a member the leader between two ticks.
+    while not group.instance.is_leader:
+        group.now += 0.05
+        group.instance.member.advance(group.now)
+        group.pump()
+    group.put(build_routing(1, services=[build_service(engine=PROFILE)]))
     placement = Placement("i-1", "a", (), 0.1)
     opened = OpenJob(build_quick(7), placement, is_writing=False)
-    single.instance.handle_front(FRONT, OpenJobs([opened]), single.now)
-    single.instance.advance(single.now)
-    assert single.instance.scheduler.open_jobs == 1
-
-
-def test_question_for_the_lease_waits_for_the_first_entry_of_a_new_leader():
-    single = Single()
-    single.instance.add_front(FRONT, 0.0)
-    while not single.instance.is_leader:
-        single.now += 0.05
-        single.instance.member.advance(single.now)
-    # The entry of its term is not applied yet.
-    asked = single.instance.handle_front(FRONT, LeaseQuestion(1.0), single.now)
-    assert not list_to_fronts(asked, LeaseAnswer)
-    single.pump()
-    single.now += 0.02
-    answered = single.instance.advance(single.now)
-    assert len(list_to_fronts(answered, LeaseAnswer)) == 1
-
-
-def test_leader_that_answered_too_late_counts_the_job_where_it_runs():
+    group.instance.handle_front(FRONT, OpenJobs([opened]), group.now)
+    group.instance.advance(group.now)
+    assert group.instance.scheduler.open_jobs == 1
+
+
+def test_lease_request_waits_for_the_first_entry_of_a_new_leader():
+    group = SingleMemberGroup()
+    group.instance.add_front(FRONT, 0.0)
+    while not group.instance.is_leader:
+        group.now += 0.05
+        group.instance.member.advance(group.now)
+    # The first entry of the term is not applied yet.
+    asked = group.instance.handle_front(FRONT, LeaseQuestion(1.0), group.now)
+    assert not list_messages_to_fronts(asked, LeaseAnswer)
+    group.pump()
+    group.now += 0.02
+    answered = group.instance.advance(group.now)
+    assert len(list_messages_to_fronts(answered, LeaseAnswer)) == 1
+
+
+def test_leader_that_replied_too_late_counts_the_job_where_it_runs():
     deployment = build_deployment(fronts=1, replicas=5, has_engines=True)
     front, (name,) = deployment.fronts[0], deployment.names
     work = build_quick(1)
-    (late,) = deployment.leader.handle_front(name, PlaceQuestion(work), deployment.now)
+    (late_reply,) = deployment.leader.handle_front(
+        name, PlaceQuestion(work), deployment.now
+    )
     others = [
-        e for e in deployment.endpoints if e.upstream != late.message.placement.upstream
+        e
+        for e in deployment.endpoints
+        if e.upstream != late_reply.message.placement.upstream
     ]
-    own = front.scheduler.place(work, others, PROFILE, deployment.now)
-    for told in front.open_job(work, own, deployment.now, is_own=True):
-        deployment.leader.handle_front(name, told.message, deployment.now)
+    own_placement = front.scheduler.place(work, others, PROFILE, deployment.now)
+    for action in front.open_job(work, own_placement, deployment.now, is_own=True):
+        deployment.leader.handle_front(name, action.message, deployment.now)
     busy = deployment.leader.scheduler.list_busy(deployment.now, 5)
-    assert [one.upstream for one in busy] == [own.upstream]
+    assert [one.upstream for one in busy] == [own_placement.upstream]
--- a/tests/unit/gateway/test_crash_exchange.py
+++ b/tests/unit/gateway/test_crash_exchange.py
@@ -1,4 +1,4 @@
-"""What one front saw of a request that ends replicas, all others know at once."""
+"""Crash records of one front reach all other fronts immediately."""
 
 from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
 from scalebend.core.gateway.crash_exchange import SEND_INTERVAL_S, CrashExchange
@@ -10,48 +10,48 @@
 CAUSE = Fingerprint("cause")
 
 
-def lose(deployment, number, upstream, fingerprint=CAUSE):
+def record_crash(deployment, number, upstream, fingerprint=CAUSE):
     front = deployment.fronts[number]
     actions = front.note_lost(fingerprint, UpstreamId(upstream), deployment.now)
     deployment._send(deployment.names[number], actions)
 
 
-def list_holds(deployment):
+def list_quarantined(deployment):
     return [
         front.crashes.compute_quarantine(CAUSE, deployment.now) > 0.0
         for front in deployment.fronts
     ]
 
 
-def test_replicas_that_ended_at_different_fronts_are_counted_together():
+def test_crashes_seen_by_different_fronts_are_counted_together():
     deployment = build_deployment(fronts=4, replicas=6)
     for number in range(CRASHES_UNTIL_QUARANTINE):
-        assert list_holds(deployment) == [False] * 4
-        lose(deployment, number, f"i-{number}")
+        assert list_quarantined(deployment) == [False] * 4
+        record_crash(deployment, number, f"i-{number}")
         deployment.run(0.05)
-    assert list_holds(deployment) == [True] * 4
+    assert list_quarantined(deployment) == [True] * 4
 
 
-def test_first_word_is_passed_on_without_waiting():
+def test_first_crash_is_sent_on_without_delay():
     deployment = build_deployment(fronts=2, replicas=6)
-    lose(deployment, 0, "i-1")
+    record_crash(deployment, 0, "i-1")
     assert deployment.fronts[1].crashes.is_suspect(CAUSE)
 
 
-def test_front_that_starts_is_told_what_is_held():
+def test_starting_front_receives_quarantined_requests():
     deployment = build_deployment(fronts=2, replicas=6)
     for number in range(CRASHES_UNTIL_QUARANTINE):
-        lose(deployment, 0, f"i-{number}")
+        record_crash(deployment, 0, f"i-{number}")
     deployment.run(0.05)
     deployment.add_front(7)
     deployment.run(0.05)
-    assert list_holds(deployment) == [True] * 3
+    assert list_quarantined(deployment) == [True] * 3
 
 
-def test_leader_that_knows_nothing_is_told_by_the_fronts():
+def test_new_leader_receives_crash_records_from_the_fronts():
     deployment = build_deployment(fronts=2, replicas=6)
     for number in range(CRASHES_UNTIL_QUARANTINE - 1):
-        lose(deployment, number, f"i-{number}")
+        record_crash(deployment, number, f"i-{number}")
     deployment.run(0.05)
     deployment.leader.crashes = CrashExchange()
     for name, front in zip(deployment.names, deployment.fronts, strict=True):
@@ -60,14 +60,14 @@
         front.add_link(LEADER)
         deployment._deliver(deployment.leader.add_front(name, deployment.now))
     deployment.run(0.6)
-    lose(deployment, 1, "i-9")
+    record_crash(deployment, 1, "i-9")
     deployment.run(0.05)
-    assert list_holds(deployment) == [True] * 2
+    assert list_quarantined(deployment) == [True] * 2
 
 
-def test_answer_at_one_front_clears_it_at_all():
+def test_response_at_one_front_clears_the_request_at_all_fronts():
     deployment = build_deployment(fronts=2, replicas=6)
-    lose(deployment, 0, "i-1")
+    record_crash(deployment, 0, "i-1")
     deployment.run(0.05)
     actions = deployment.fronts[1].note_answered(CAUSE, deployment.now)
     deployment._send(deployment.names[1], actions)
@@ -75,7 +75,7 @@
     assert not any(front.crashes.is_suspect(CAUSE) for front in deployment.fronts)
 
 
-def test_victims_of_one_crash_go_on_in_few_messages():
+def test_suspect_requests_of_one_crash_are_sent_in_few_messages():
     exchange = CrashExchange()
     fronts = [InstanceId(f"front-{number}") for number in range(300)]
     sent = []
@@ -86,5 +86,5 @@
         sent += exchange.send_due(fronts, [], now, is_leader=True)
     sent += exchange.send_due(fronts, [], SEND_INTERVAL_S, is_leader=True)
     assert len(sent) == 600
-    told = [record for action in sent for record in action.message.records]
-    assert len({record.fingerprint for record in told}) == 8
+    sent_records = [record for action in sent for record in action.message.records]
+    assert len({record.fingerprint for record in sent_records}) == 8
--- a/tests/unit/gateway/test_endpoint_directory.py
+++ b/tests/unit/gateway/test_endpoint_directory.py
@@ -1,3 +1,5 @@
+"""The endpoint directory: late or reordered updates, and reused addresses."""
+
 import msgspec
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -18,7 +20,7 @@
     assert not list_ids(directory)
 
 
-def test_departed_upstream_never_returns_under_its_id():
+def test_deregistered_upstream_never_returns_under_its_id():
     directory = EndpointDirectory(10.0)
     directory.register(build_endpoint(), 0.0)
     directory.remove("i-1", 1.0)
@@ -27,7 +29,7 @@
     assert directory.get("i-1") is None
 
 
-def test_silent_upstream_returns_when_it_speaks():
+def test_timed_out_upstream_returns_when_it_registers_again():
     directory = EndpointDirectory(10.0)
     directory.register(build_endpoint(), 0.0)
     assert directory.expire(10.5)[0].is_gone
@@ -36,13 +38,13 @@
     assert list_ids(directory) == {"i-1"}
 
 
-def test_heartbeat_without_news_is_not_published():
+def test_registration_without_a_change_is_not_published():
     directory = EndpointDirectory(10.0)
     assert directory.register(build_endpoint(), 0.0) is not None
     assert directory.register(build_endpoint(sequence=2), 1.0) is None
 
 
-def test_gone_by_silence_elsewhere_does_not_hide_a_newer_registration():
+def test_timeout_at_a_peer_does_not_override_a_newer_registration():
     directory = EndpointDirectory(10.0)
     directory.register(build_endpoint(sequence=5), 0.0)
     stale = EndpointNews(build_endpoint(sequence=3), is_gone=True)
@@ -51,12 +53,12 @@
 
 
 class TwoDirectories(RuleBasedStateMachine):
-    """One hears the upstream, the other hears the first; news come in any order."""
+    """One receives registrations, its peer the resulting updates in any order."""
 
     def __init__(self):
         super().__init__()
-        self.heard = EndpointDirectory(1_000.0)
-        self.told = EndpointDirectory(1_000.0)
+        self.receiver = EndpointDirectory(1_000.0)
+        self.peer = EndpointDirectory(1_000.0)
         self.news = []
         self.sequence = 0
         self.has_left = False
@@ -70,37 +72,37 @@
         self.sequence += 1
         number = max(1, self.sequence - lag)
         endpoint = build_endpoint(sequence=number, is_draining=drains)
-        self.publish(self.heard.register(endpoint, 0.0))
+        self.publish(self.receiver.register(endpoint, 0.0))
         self.has_left |= drains and number == self.sequence
 
     @rule()
     def leave(self):
-        self.publish(self.heard.remove("i-1", 0.0))
+        self.publish(self.receiver.remove("i-1", 0.0))
         self.has_left |= self.sequence > 0
 
     @rule(data=st.data())
     def deliver(self, data):
         if self.news:
             position = data.draw(st.integers(0, len(self.news) - 1))
-            self.told.merge(self.news[position], 0.0)
+            self.peer.merge(self.news[position], 0.0)
 
     @invariant()
     def draining_is_final(self):
         if self.has_left:
-            assert not list_ids(self.heard)
+            assert not list_ids(self.receiver)
 
     def teardown(self):
         for news in self.news:
-            self.told.merge(news, 0.0)
-        assert list_ids(self.told) == list_ids(self.heard)
-        # A process that starts now learns the same.
+            self.peer.merge(news, 0.0)
+        assert list_ids(self.peer) == list_ids(self.receiver)
+        # A process that starts now ends with the same upstreams.
         fresh = EndpointDirectory(1_000.0)
-        for news in self.heard.list_updates():
+        for news in self.receiver.list_updates():
             copy = msgspec.msgpack.decode(
                 msgspec.msgpack.encode(news), type=EndpointNews
             )
             fresh.merge(copy, 0.0)
-        assert list_ids(fresh) == list_ids(self.heard)
+        assert list_ids(fresh) == list_ids(self.receiver)
 
 
 TestTwoDirectories = TwoDirectories.TestCase
@@ -115,14 +117,14 @@
     return {endpoint.upstream for endpoint in directory.list_usable(SERVICE)}
 
 
-def test_next_incarnation_at_an_address_ends_the_last():
+def test_new_upstream_at_an_address_ends_the_previous_one():
     directory = EndpointDirectory(10.0)
     directory.register(at_address(1), 0.0)
     directory.register(at_address(2), 1.0)
     assert list_usable(directory) == {"i-2"}
 
 
-def test_delayed_registration_does_not_bring_the_last_incarnation_back():
+def test_delayed_registration_does_not_bring_the_previous_upstream_back():
     directory = EndpointDirectory(10.0)
     directory.register(at_address(1), 0.0)
     directory.register(at_address(2), 1.0)
@@ -130,10 +132,10 @@
     assert list_usable(directory) == {"i-2"}
 
 
-def test_true_one_takes_its_address_back_from_a_delayed_registration():
+def test_live_upstream_regains_its_address_from_a_delayed_registration():
     directory = EndpointDirectory(10.0)
     directory.register(at_address(2), 0.0)
-    # Nobody here knew the one that crashed.
+    # The directory does not know the crashed upstream yet.
     directory.register(at_address(1, sequence=5), 0.5)
     assert list_usable(directory) == {"i-1"}
     directory.register(at_address(2, sequence=2), 1.0)
@@ -145,7 +147,7 @@
     assert list_usable(directory) == {"i-2"}
 
 
-def test_upstream_that_drained_stays_drained_when_its_address_is_used_again():
+def test_drained_upstream_stays_drained_when_its_address_is_reused():
     directory = EndpointDirectory(10.0)
     directory.register(at_address(1), 0.0)
     directory.remove("i-1", 0.5)
@@ -164,21 +166,21 @@
     assert "i-1" not in list_usable(directory)
 
 
-def test_front_follows_control_when_an_address_goes_back_and_forth():
-    # A front hears of each change once, and must end with what control ends with.
+def test_front_follows_control_instances_when_an_address_changes_back_and_forth():
+    # A front receives each change once and must end in the state of the sender.
     front = EndpointDirectory(10.0, registrations_to_regain_address=1)
-    true, ghost = at_address(2, sequence=4), at_address(1, sequence=9)
+    live, stale = at_address(2, sequence=4), at_address(1, sequence=9)
     front.merge(EndpointNews(at_address(1, sequence=1), False), 0.0)
-    front.merge(EndpointNews(true, False), 1.0)
+    front.merge(EndpointNews(live, False), 1.0)
     assert list_usable(front) == {"i-2"}
-    # A control instance that has just started took a delayed registration for new.
-    front.merge(EndpointNews(ghost, False), 2.0)
+    # A control instance that has just started accepted a delayed registration.
+    front.merge(EndpointNews(stale, False), 2.0)
     assert list_usable(front) == {"i-1"}
-    front.merge(EndpointNews(true, False), 2.1)
+    front.merge(EndpointNews(live, False), 2.1)
     assert list_usable(front) == {"i-2"}
 
 
-def test_upstreams_known_before_a_restart_count_until_they_should_have_registered():
+def test_restored_upstreams_expire_unless_they_register_again():
     before = EndpointDirectory(9.6)
     for number in (1, 2, 3):
         before.register(build_endpoint(number), 0.0)
@@ -187,7 +189,7 @@
     after.restore(before.list_updates(), 2.4, 100.0)
     assert {e.upstream for e in after.list_usable(SERVICE)} == {"i-1", "i-2"}
     after.register(build_endpoint(1, sequence=2), 101.0)
-    # Who said that it leaves does not come back, whatever arrives late.
+    # A deregistered upstream does not come back by a late registration.
     after.register(build_endpoint(3, sequence=9), 101.0)
     after.expire(102.3)
     assert {e.upstream for e in after.list_usable(SERVICE)} == {"i-1", "i-2"}
--- a/tests/unit/gateway/test_foreign_messages.py
+++ b/tests/unit/gateway/test_foreign_messages.py
@@ -11,7 +11,7 @@
 from scalebend.platform.registrations import decode_departure, decode_registration
 from scalebend.platform.reports import decode_report
 from tests.lib.gateway_builders import SERVICE, build_routing
-from tests.unit.gateway.test_control_instance import Single
+from tests.unit.gateway.test_control_instance import SingleMemberGroup
 
 VALID = {
     "Service": SERVICE,
@@ -160,7 +160,7 @@
 
 def build_control():
     """A leader that knows its service, and one healthy upstream of it."""
-    single = Single()
+    single = SingleMemberGroup()
     single.run(3.0)
     single.put(build_routing(1))
     endpoint = decode_registration("i-1", encode())
--- a/tests/unit/gateway/test_group_changes.py
+++ b/tests/unit/gateway/test_group_changes.py
@@ -40,7 +40,7 @@
     assert list_voters(group) == set(NAMES)
 
 
-def test_founder_that_missed_the_founding_is_told_again():
+def test_found_message_is_sent_again_after_a_loss():
     group = ControlGroup(NAMES, seeds=SEEDS, voters_wanted=5)
     for _ in range(30):
         group.advance(0.1)
@@ -51,7 +51,7 @@
     assert list_voters(group) == set(NAMES)
 
 
-def test_empty_disks_found_no_second_group():
+def test_members_with_empty_disks_found_no_second_group():
     group = build_group()
     for name in NAMES:
         group.crash(name)
@@ -61,7 +61,7 @@
     assert all(m.replica.members is None for m in group.members.values())
 
 
-def test_lost_machine_gives_its_place_to_a_new_one():
+def test_new_instance_replaces_a_lost_voter():
     group = build_group()
     put(group, 1)
     group.remove("d")
@@ -71,7 +71,7 @@
     put(group, 2)
 
 
-def test_spare_member_learns_but_does_not_vote():
+def test_spare_member_replicates_but_does_not_vote():
     group = build_group()
     group.add("f")
     run(group, 6.0)
@@ -107,7 +107,7 @@
     put(group, 2)
 
 
-def test_all_members_killed_at_once_lead_again_within_a_second():
+def test_group_elects_a_leader_within_a_second_after_all_members_were_killed():
     group = build_group()
     put(group, 1)
     for name in NAMES:
@@ -118,7 +118,7 @@
     assert group.find_leader() is not None
 
 
-def test_cut_off_leader_confirms_nothing():
+def test_partitioned_leader_confirms_nothing():
     group = build_group()
     commit(group, "first", Barrier())
     run(group, 0.3)
@@ -127,15 +127,15 @@
     confirmed = member.replica.compute_confirmed_at(group.now)
     assert confirmed is not None and confirmed <= group.now
     group.cut.add(old)
-    cut_at = group.now
+    partitioned_at = group.now
     run(group, 0.5)
     confirmed = member.replica.compute_confirmed_at(group.now)
-    assert confirmed is None or confirmed <= cut_at
+    assert confirmed is None or confirmed <= partitioned_at
 
 
-def test_new_leader_confirms_only_with_an_entry_of_its_own():
-    # A member that lacks what the last leader committed answers the next leader, too:
-    # its answer alone must not make the next leader sure of its applied state.
+def test_new_leader_confirms_only_after_an_entry_of_its_own_term():
+    # A member that lacks entries committed by the last leader also replies to the next
+    # one. Its reply alone must not confirm the applied state of that leader.
     group = ControlGroup(("a", "b", "c"))
     group.settle()
     put(group, 1)
--- a/tests/unit/gateway/test_incarnations.py
+++ b/tests/unit/gateway/test_incarnations.py
@@ -1,7 +1,6 @@
-"""An upstream may start again under its name: nothing of before counts any more.
+"""A restarted upstream is a new incarnation, to which no earlier state applies.
 
-A replica that starts again holds and knows nothing, its sequence numbers begin anew,
-and the time of its start tells which incarnation, here a life, speaks.
+Sequence numbers start again with each incarnation; the start time orders incarnations.
 """
 
 import msgspec
@@ -33,9 +32,9 @@
 BORN = 1_764_722_395_000
 
 
-def build_life(life, number=1, **changes):
-    """An endpoint of the upstream's life ``life``; life 0 tells no start."""
-    born = BORN + life if life else None
+def build_incarnation(incarnation, number=1, **changes):
+    """Build an endpoint of an incarnation; incarnation 0 has no start time."""
+    born = BORN + incarnation if incarnation else None
     upstream = build_upstream_id(f"i-{number}", born)
     return build_endpoint(number, upstream=upstream, born=born, **changes)
 
@@ -44,11 +43,11 @@
     return {endpoint.upstream for endpoint in directory.list_usable(SERVICE)}
 
 
-def id_of(life, number=1):
-    return build_life(life, number).upstream
+def id_of(incarnation, number=1):
+    return build_incarnation(incarnation, number).upstream
 
 
-def test_id_names_name_and_start():
+def test_id_contains_name_and_start_time():
     upstream = id_of(3)
     assert get_upstream_name(upstream) == "i-1"
     assert get_upstream_born(upstream) == BORN + 3
@@ -56,16 +55,16 @@
     assert get_upstream_born("i-1") is None
 
 
-def test_next_life_is_usable_though_its_numbers_begin_anew():
+def test_next_incarnation_is_usable_though_its_sequence_restarts():
     directory = EndpointDirectory(10.0)
-    directory.register(build_life(1, sequence=40), 0.0)
-    assert directory.register(build_life(2, sequence=1), 1.0) is not None
+    directory.register(build_incarnation(1, sequence=40), 0.0)
+    assert directory.register(build_incarnation(2, sequence=1), 1.0) is not None
     assert list_ids(directory) == {id_of(2)}
 
 
-def test_next_life_is_usable_after_draining_leaving_silence_and_death():
+def test_next_incarnation_is_usable_after_any_end_of_the_previous_one():
     ends = [
-        lambda d: d.register(build_life(1, sequence=41, is_draining=True), 1.0),
+        lambda d: d.register(build_incarnation(1, sequence=41, is_draining=True), 1.0),
         lambda d: d.deregister(Departure("i-1", None), 1.0),
         lambda d: d.deregister(Departure("i-1", BORN + 1), 1.0),
         lambda d: d.expire(11.0),
@@ -73,62 +72,62 @@
     ]
     for end in ends:
         directory = EndpointDirectory(10.0)
-        directory.register(build_life(1, sequence=40), 0.0)
+        directory.register(build_incarnation(1, sequence=40), 0.0)
         end(directory)
-        directory.register(build_life(2), 12.0)
+        directory.register(build_incarnation(2), 12.0)
         assert list_ids(directory) == {id_of(2)}
 
 
-def test_late_words_of_an_earlier_life_change_nothing():
+def test_late_updates_of_an_earlier_incarnation_are_ignored():
     directory = EndpointDirectory(10.0)
-    directory.register(build_life(1, sequence=40), 0.0)
-    directory.register(build_life(2), 1.0)
-    late = build_life(1, sequence=99, is_draining=True)
+    directory.register(build_incarnation(1, sequence=40), 0.0)
+    directory.register(build_incarnation(2), 1.0)
+    late = build_incarnation(1, sequence=99, is_draining=True)
     assert directory.register(late, 1.5) is None
     assert directory.deregister(Departure("i-1", BORN + 1), 1.5) is None
     assert directory.merge(EndpointNews(late, is_gone=True), 1.5) is None
-    # Another writer, or a life of before the platform told starts.
-    assert directory.register(build_life(0, sequence=99), 1.5) is None
+    # From another source, or from before the platform reported start times.
+    assert directory.register(build_incarnation(0, sequence=99), 1.5) is None
     assert list_ids(directory) == {id_of(2)}
 
 
-def test_life_at_another_address_and_back_at_the_first():
+def test_incarnations_may_change_address_and_return_to_the_first():
     directory = EndpointDirectory(10.0)
-    directory.register(build_life(1, address="10.1.64.1:1"), 0.0)
-    directory.register(build_life(2, address="10.1.64.2:2"), 1.0)
+    directory.register(build_incarnation(1, address="10.1.64.1:1"), 0.0)
+    directory.register(build_incarnation(2, address="10.1.64.2:2"), 1.0)
     (endpoint,) = directory.list_usable(SERVICE)
     assert endpoint.address == "10.1.64.2:2"
-    directory.register(build_life(3, address="10.1.64.1:1"), 2.0)
+    directory.register(build_incarnation(3, address="10.1.64.1:1"), 2.0)
     (endpoint,) = directory.list_usable(SERVICE)
     assert (endpoint.upstream, endpoint.address) == (id_of(3), "10.1.64.1:1")
 
 
-def test_upstream_that_tells_no_start_stays_as_it_was():
+def test_upstream_without_a_start_time_stays_deregistered():
     directory = EndpointDirectory(10.0)
-    directory.register(build_life(0, sequence=4), 0.0)
-    assert directory.register(build_life(0, sequence=3), 1.0) is None
+    directory.register(build_incarnation(0, sequence=4), 0.0)
+    assert directory.register(build_incarnation(0, sequence=3), 1.0) is None
     directory.deregister(Departure("i-1", None), 2.0)
-    assert directory.register(build_life(0, sequence=9), 3.0) is None
+    assert directory.register(build_incarnation(0, sequence=9), 3.0) is None
     assert not list_ids(directory)
 
 
-def test_nothing_learnt_of_a_life_is_taken_for_the_next():
+def test_scheduler_state_of_an_incarnation_does_not_apply_to_the_next():
     scheduler = EngineScheduler()
-    old, new = build_life(1), build_life(2)
+    old, new = build_incarnation(1), build_incarnation(2)
     work = build_quick(1)
     scheduler.place(work, (old,), PROFILE, 0.0)
     scheduler.note_failure(old.upstream, 0.0)
     scheduler.note_pace(ReplicaPace(old.upstream, 4.0), 0.0)
-    alone = EngineScheduler().place(build_quick(2), (new,), PROFILE, 0.1)
+    expected = EngineScheduler().place(build_quick(2), (new,), PROFILE, 0.1)
     after = scheduler.place(build_quick(2), (new,), PROFILE, 0.1)
-    assert after == alone
+    assert after == expected
     assert new.upstream not in scheduler.summarise(0.2).suspect
-    # A late word of its end changes nothing of the next.
+    # A late failure of the old incarnation does not affect the new one.
     scheduler.note_failure(old.upstream, 0.2)
     assert scheduler.summarise(0.2).suspect == [old.upstream]
 
 
-def test_failures_of_a_life_do_not_eject_the_next():
+def test_failures_of_an_incarnation_do_not_eject_the_next():
     outliers = OutlierDetector()
     outliers.note(UpstreamOutcomes(id_of(1), 0, 9), SERVICE, 6, 0.0)
     assert [one.upstream for one in outliers.list_ejections(0.1)] == [id_of(1)]
@@ -136,27 +135,27 @@
     assert id_of(2) not in [one.upstream for one in outliers.list_ejections(0.3)]
 
 
-def test_front_ends_attempts_on_a_life_that_is_over():
+def test_front_ends_attempts_on_a_superseded_incarnation():
     front = FrontInstance(build_settings(), now=0.0)
-    first = EndpointChanges([EndpointNews(build_life(1), is_gone=False)])
+    first = EndpointChanges([EndpointNews(build_incarnation(1), is_gone=False)])
     assert front.handle("c", first, 0.0) == []
-    again = EndpointChanges([EndpointNews(build_life(2), is_gone=False)])
+    again = EndpointChanges([EndpointNews(build_incarnation(2), is_gone=False)])
     assert front.handle("c", again, 1.0) == [EndAttempts([id_of(1)])]
-    # Told again by another control instance, and late.
+    # Repeated by another control instance, and out of order.
     assert front.handle("c", again, 1.1) == []
     assert front.handle("c", first, 1.2) == []
 
 
-def test_draining_upstream_finishes_what_it_has():
+def test_draining_upstream_finishes_its_attempts():
     front = FrontInstance(build_settings(), now=0.0)
-    front.handle("c", EndpointChanges([EndpointNews(build_life(1), False)]), 0.0)
-    drains = build_life(1, sequence=2, is_draining=True)
+    front.handle("c", EndpointChanges([EndpointNews(build_incarnation(1), False)]), 0.0)
+    drains = build_incarnation(1, sequence=2, is_draining=True)
     for news in (EndpointNews(drains, False), EndpointNews(drains, True)):
         assert front.handle("c", EndpointChanges([news]), 1.0) == []
 
 
-class Lives(RuleBasedStateMachine):
-    """Two control instances and a front; messages come late, twice, in any order."""
+class Incarnations(RuleBasedStateMachine):
+    """Two control instances and a front; messages are delayed, repeated, reordered."""
 
     sent = Bundle("sent")
 
@@ -164,91 +163,91 @@
         super().__init__()
         self.controls = [EndpointDirectory(1_000.0) for _ in range(2)]
         self.front = EndpointDirectory(1_000.0, registrations_to_regain_address=1)
-        self.spread = []
-        self.told = []
-        self.life = 1
+        self.to_peers = []
+        self.to_front = []
+        self.incarnation = 1
         self.sequence = 0
         self.address = "10.1.64.1:1"
-        self.heard = {}
-        """By control instance, the newest life that it heard of."""
+        self.newest_seen = {}
+        """By control instance, the newest incarnation that it has received."""
 
-        self.ended = set()
-        """Lives that said to some control instance that they drain or leave."""
+        self.drained = set()
+        """Incarnations that drain or deregistered, as some control instance knows."""
 
-    def note(self, number, life, change):
-        self.heard[number] = max(self.heard.get(number, 0), life)
+    def record_newest(self, number, incarnation, change):
+        self.newest_seen[number] = max(self.newest_seen.get(number, 0), incarnation)
         if change is not None:
-            self.told.append(change)
+            self.to_front.append(change)
 
     @rule(target=sent, drains=st.booleans())
-    def speak(self, drains):
+    def send_registration(self, drains):
         self.sequence += 1
-        return build_life(
-            self.life,
+        return build_incarnation(
+            self.incarnation,
             sequence=self.sequence,
             is_draining=drains,
             address=self.address,
         )
 
-    @rule(moves=st.booleans())
-    def restart(self, moves):
-        self.life += 1
+    @rule(changes_address=st.booleans())
+    def restart(self, changes_address):
+        self.incarnation += 1
         self.sequence = 0
-        if moves:
-            self.address = f"10.1.64.1:{self.life}"
+        if changes_address:
+            self.address = f"10.1.64.1:{self.incarnation}"
 
     @rule(message=sent, number=st.integers(0, 1))
     def deliver(self, message, number):
-        life = message.born - BORN
+        incarnation = message.born - BORN
         change = self.controls[number].register(message, 0.0)
-        self.note(number, life, change)
+        self.record_newest(number, incarnation, change)
         known = self.controls[number].get(message.upstream)
         if known is not None:
-            self.spread.append((1 - number, EndpointNews(known, is_gone=False)))
+            self.to_peers.append((1 - number, EndpointNews(known, is_gone=False)))
         if message.is_draining:
-            self.ended.add(life)
+            self.drained.add(incarnation)
 
     @rule(message=sent, number=st.integers(0, 1))
     def leave(self, message, number):
         change = self.controls[number].deregister(Departure("i-1", message.born), 0.0)
         if change is not None:
-            self.ended.add(message.born - BORN)
-            self.spread.append((1 - number, change))
-            self.told.append(change)
+            self.drained.add(message.born - BORN)
+            self.to_peers.append((1 - number, change))
+            self.to_front.append(change)
 
     @rule(data=st.data(), is_kept=st.booleans())
     def pass_on(self, data, is_kept):
-        if not self.spread:
+        if not self.to_peers:
             return
-        position = data.draw(st.integers(0, len(self.spread) - 1))
-        number, news = self.spread[position]
+        position = data.draw(st.integers(0, len(self.to_peers) - 1))
+        number, news = self.to_peers[position]
         if not is_kept:
-            del self.spread[position]
+            del self.to_peers[position]
         change = self.controls[number].merge(news, 0.0)
-        self.note(number, news.endpoint.born - BORN, change)
+        self.record_newest(number, news.endpoint.born - BORN, change)
 
     @rule(data=st.data())
-    def tell_front(self, data):
-        if self.told:
-            position = data.draw(st.integers(0, len(self.told) - 1))
-            self.front.merge(self.told[position], 0.0)
+    def update_front(self, data):
+        if self.to_front:
+            position = data.draw(st.integers(0, len(self.to_front) - 1))
+            self.front.merge(self.to_front[position], 0.0)
 
     @invariant()
-    def only_the_newest_life_is_used(self):
+    def only_the_newest_incarnation_is_used(self):
         for number, control in enumerate(self.controls):
-            lives = {e.born - BORN for e in control.list_usable(SERVICE)}
-            assert lives <= {self.heard.get(number, 0)}
+            incarnations = {e.born - BORN for e in control.list_usable(SERVICE)}
+            assert incarnations <= {self.newest_seen.get(number, 0)}
 
     def teardown(self):
-        for number, news in self.spread:
+        for number, news in self.to_peers:
             change = self.controls[number].merge(news, 0.0)
-            self.note(number, news.endpoint.born - BORN, change)
-        for news in self.told:
+            self.record_newest(number, news.endpoint.born - BORN, change)
+        for news in self.to_front:
             self.front.merge(news, 0.0)
-        newest = max(self.heard.values(), default=0)
-        expected = {id_of(newest)} if newest and newest not in self.ended else set()
+        newest = max(self.newest_seen.values(), default=0)
+        expected = {id_of(newest)} if newest and newest not in self.drained else set()
         for directory in (*self.controls, self.front):
-            if directory is self.front or self.heard.get(
+            if directory is self.front or self.newest_seen.get(
                 self.controls.index(directory)
             ):
                 assert list_ids(directory) == expected
@@ -259,5 +258,5 @@
         assert list_ids(fresh) == expected
 
 
-TestLives = Lives.TestCase
-TestLives.settings = settings(deadline=None)
+TestIncarnations = Incarnations.TestCase
+TestIncarnations.settings = settings(deadline=None)
--- a/tests/unit/gateway/test_relays.py
+++ b/tests/unit/gateway/test_relays.py
@@ -1,6 +1,6 @@
-"""Control processes without a disk: whom they introduce, and who founds the group.
+"""Relays: discovery and founding of the control group.
 
-Also: processes that share a machine have links of their own.
+Also covers the links of two processes on one host.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class RelayedGroup(ControlGroup):
-    """Members with disks, and relays; seeds name any of them."""
+    """Members with disks, and relays; both may be seeds."""
 
     def __init__(self, seeds, relays=RELAYS, members=MEMBERS):
         self.relays = {}
@@ -67,14 +67,14 @@
             self.flights.append((to, sender, reply))
 
     def introduce_relays(self):
-        """Relays hear each other, as over their links."""
+        """Exchange the known members between the relays, as over their links."""
         for name, relay in self.relays.items():
-            for other, told in self.relays.items():
+            for other, other_relay in self.relays.items():
                 if other != name:
-                    relay.handle(other, KnownInstances(told.list_members()))
+                    relay.handle(other, KnownInstances(other_relay.list_members()))
 
     def list_groups(self):
-        """Sets of voters that members believe to be the first group."""
+        """Return the distinct voter sets that members hold."""
         held = [m.replica.members for m in self.members.values()]
         return {one.voters for one in held if one is not None}
 
@@ -88,7 +88,7 @@
     "seeds",
     [("r", "s", "t"), ("a", "r", "s"), ("a", "b", "r"), ("a", "b", "c"), ("r", "b")],
 )
-def test_members_find_each_other_whatever_the_seeds_are(seeds):
+def test_members_find_each_other_with_any_seeds(seeds):
     group = RelayedGroup(seeds)
     group.introduce_relays()
     group.settle(12.0)
@@ -98,7 +98,7 @@
     put(group, 1)
 
 
-def test_nobody_is_named_before_all_seeds_are_known_to_be_relays():
+def test_no_founder_is_chosen_before_all_seeds_are_known_to_be_relays():
     group = RelayedGroup(("r", "s", "t"))
     group.settle(3.0)
     assert group.find_leader() is None
@@ -107,7 +107,7 @@
     put(group, 1)
 
 
-def test_relay_names_nobody_where_a_seed_has_a_disk():
+def test_relay_chooses_no_founder_if_a_seed_has_a_disk():
     group = RelayedGroup(("r", "a", "s"))
     group.crash("a")
     group.introduce_relays()
@@ -117,7 +117,7 @@
     assert not group.list_groups()
 
 
-def test_restarted_relay_names_no_second_founder():
+def test_restarted_relay_chooses_no_second_founder():
     group = RelayedGroup(("r", "s", "t"))
     group.introduce_relays()
     group.settle(12.0)
@@ -134,9 +134,9 @@
 
 
 class RelaysAndRestarts(RuleBasedStateMachine):
-    """Members and relays restart at any time; there is one group, and nothing is lost.
+    """Members and relays restart at any time; only one group exists and keeps its data.
 
-    The group's own checks see two leaders of one term and two entries at one index.
+    The group itself checks that a term has one leader and an index one entry.
     """
 
     @initialize(seeds=st.sampled_from([RELAYS, ("a", "r", "s"), ("a", "b", "t")]))
@@ -172,7 +172,7 @@
 
     @invariant()
     def first_lists_agree(self):
-        # Two groups that never met would have founders without a common member.
+        # Two separate groups would have founders without a common member.
         groups = list(self.group.list_groups())
         named = [{member.instance for member in group} for group in groups]
         assert all(one & other for one in named for other in named)
@@ -181,7 +181,7 @@
 TestRelaysAndRestarts = RelaysAndRestarts.TestCase
 
 
-def test_relay_sends_calls_to_the_leader_and_else_to_a_member():
+def test_relay_forwards_calls_to_the_leader_or_any_member():
     relay = RelayInstance("r", ["s", "a"], is_first_start=False)
     assert relay.choose_target() is None
     for instance in ("s", "a", "b"):
@@ -193,7 +193,7 @@
     assert relay.list_members() == ["a", "b"]
     relay.remove_link("b")
     assert relay.choose_target() == "a"
-    # One that was cut off still names the leader of an earlier term.
+    # A member that was partitioned still names the leader of an earlier term.
     relay.handle("s", ControlNews(["a", "b"], "b", 2, 2))
     assert relay.choose_target() == "a"
 
@@ -204,8 +204,8 @@
     assert read_gateway_settings(path).role is GatewayRole.RELAY
 
 
-def build_machine():
-    """Settings of a front and of a control process on one machine."""
+def build_shared_host_settings():
+    """Build the settings of a front and of a control process on one host."""
     front = build_settings(link_address="127.0.0.1:7340")
     control = build_settings(
         link_address="127.0.0.1:7340", role=GatewayRole.CONTROL, name=front.name
@@ -213,22 +213,22 @@
     return front, control
 
 
-def test_processes_of_one_machine_have_names_of_their_own():
-    front, control = build_machine()
+def test_processes_on_one_host_have_different_ids():
+    front, control = build_shared_host_settings()
     assert front.instance != control.instance
     job = build_job_id(front.instance, 7, 1)
     assert is_job_of(front.instance, job)
     assert not is_job_of(control.instance, job)
 
 
-async def test_links_of_two_processes_of_one_machine_both_stay():
+async def test_links_of_two_processes_on_one_host_both_stay():
     up, down = [], []
     server = LinkServer(lambda *_: None, up.append, down.append, GatewayMetrics())
     (port,) = find_free_ports(1)
     loop = asyncio.get_running_loop()
     listener = await loop.create_server(server.build_link, "127.0.0.1", port)
     dialers = []
-    for settings in build_machine():
+    for settings in build_shared_host_settings():
         introduction = Introduce(settings.instance, 1, settings.role)
         dialer = Dialer(
             introduction,
@@ -242,7 +242,7 @@
     async with asyncio.timeout(5.0):
         while len(up) < 2:
             await asyncio.sleep(0.01)
-    # A replaced link would be dialled again at once.
+    # A replaced link would be dialled again immediately.
     await asyncio.sleep(0.3)
     assert len(up) == 2
     assert not down
@@ -256,7 +256,7 @@
     history = LinkHistory()
     starts = [history.note_start("a", float(n)) for n in range(MOST_STARTS + 1)]
     assert starts == [False] * MOST_STARTS + [True]
-    # Said once, then counted anew.
+    # Reported once, then counted from zero.
     assert not history.note_start("a", MOST_STARTS + 1.0)
     rare = [history.note_start("b", n * WINDOW / 2) for n in range(40)]
     assert not any(rare)
--- a/tests/unit/gateway/test_routing_push.py
+++ b/tests/unit/gateway/test_routing_push.py
@@ -1,9 +1,4 @@
-"""What hundreds of fronts are sent at once must leave room for answers on the links.
-
-The patterns: a document of 920 new routes goes to 195 fronts while quick prompts come
-by the hundred each second; all machines start at once, and each front needs the
-document and 155 upstreams over a link of 10 Mbit/s before it can serve.
-"""
+"""Documents and catalogs sent to all fronts must not delay replies on the links."""
 
 import random
 
@@ -26,12 +21,14 @@
 
 
 def build_large(version, routes):
-    """Routes with names that do not compress."""
-    chance = random.Random(version)
+    """Build a document with route names that do not compress."""
+    random_source = random.Random(version)
     return build_routing(
         version,
         [
-            build_route(name=f"r-{chance.getrandbits(64):x}", path_prefix=f"/{n}/")
+            build_route(
+                name=f"r-{random_source.getrandbits(64):x}", path_prefix=f"/{n}/"
+            )
             for n in range(routes)
         ],
     )
@@ -47,52 +44,54 @@
     return push
 
 
-def play(push, now=10.0):
-    """All that is sent, by turn."""
-    turns = [push.push(now)]
-    while len(turns) < 500:
+def run_push(push, now=10.0):
+    """Return all that is sent, by interval."""
+    intervals = [push.push(now)]
+    while len(intervals) < 500:
         now += PUSH_INTERVAL_S
-        turns.append(push.advance(now))
-        if not turns[-1]:
-            return turns[:-1]
-    raise AssertionError("documents go out for ever")
+        intervals.append(push.advance(now))
+        if not intervals[-1]:
+            return intervals[:-1]
+    raise AssertionError("the push does not end")
 
 
 def test_small_document_goes_to_all_fronts_at_once(push):
     push.record_document(build_routing(2))
-    (sent,) = play(push)
+    (sent,) = run_push(push)
     assert [action.front for action in sent] == FRONTS
 
 
-def test_large_document_leaves_room_on_the_link(push):
+def test_large_document_is_paced(push):
     push.record_document(build_large(2, 920))
-    turns = play(push)
-    assert [action.front for sent in turns for action in sent] == FRONTS
-    for sent in turns:
+    intervals = run_push(push)
+    assert [action.front for sent in intervals for action in sent] == FRONTS
+    for sent in intervals:
         sizes = [len(action.message.packed) for action in sent]
         assert sum(sizes[:-1]) < PUSH_INTERVAL_BYTES
-    assert len(turns) > 10
+    assert len(intervals) > 10
 
 
-def test_largest_document_is_out_within_the_time_for_all(push):
+def test_largest_document_is_sent_within_the_maximum_time(push):
     push.record_document(build_large(2, 6_000))
-    assert len(play(push)) * PUSH_INTERVAL_S <= MAX_PUSH_S + 2 * PUSH_INTERVAL_S
+    assert len(run_push(push)) * PUSH_INTERVAL_S <= MAX_PUSH_S + 2 * PUSH_INTERVAL_S
 
 
-def test_front_that_asks_gets_a_large_document_at_once(push):
+def test_front_that_subscribes_gets_a_large_document_immediately(push):
     push.record_document(build_large(2, 920))
     push.push(10.0)
     (sent,) = push.subscribe(FRONTS[-1], 1, is_wanted=True)
     assert sent.message.version == 2
-    others = {action.front for turn in play(push) for action in turn}
+    others = {action.front for interval in run_push(push) for action in interval}
     assert FRONTS[-1] not in others
 
 
-def test_newer_document_takes_the_place_of_one_that_still_goes_out(push):
+def test_newer_document_replaces_one_that_is_still_being_sent(push):
     push.record_document(build_large(2, 920))
     push.push(10.0)
     push.record_document(build_large(3, 920))
-    versions = {a.message.version for turn in play(push, 10.0) for a in turn}
+    versions = {
+        a.message.version for interval in run_push(push, 10.0) for a in interval
+    }
     assert versions == {3}
 
 
@@ -100,7 +99,7 @@
     push.record_document(build_large(2, 920))
     push.push(10.0)
     push.remove_front(FRONTS[-1])
-    assert FRONTS[-1] not in {a.front for turn in play(push) for a in turn}
+    assert FRONTS[-1] not in {a.front for interval in run_push(push) for a in interval}
 
 
 @pytest.fixture
@@ -115,7 +114,7 @@
     return catalogs.send_due(directory, changes, now, is_leader=is_leader)
 
 
-def test_leader_sends_all_upstreams_at_once_and_others_later(directory):
+def test_leader_sends_the_catalog_immediately_and_others_later(directory):
     catalogs = CatalogPush()
     catalogs.add_front(FRONTS[0], 0.0)
     assert not send_due(catalogs, directory, 0.5, is_leader=False)
@@ -126,14 +125,14 @@
     assert not send_due(catalogs, directory, 9.0, is_leader=True)
 
 
-def test_front_that_left_is_sent_no_upstreams(directory):
+def test_front_that_is_gone_is_sent_no_catalog(directory):
     catalogs = CatalogPush()
     catalogs.add_front(FRONTS[0], 0.0)
     catalogs.remove_front(FRONTS[0])
     assert not send_due(catalogs, directory, 5.0, is_leader=True)
 
 
-def test_upstreams_are_listed_once_for_all_who_start_together(directory):
+def test_catalog_is_built_once_for_fronts_that_start_together(directory):
     catalogs = CatalogPush()
     for front in FRONTS[:2]:
         catalogs.add_front(front, 0.0)
@@ -147,7 +146,7 @@
     assert changed.message is not first.message
 
 
-def test_all_upstreams_fit_a_few_milliseconds_of_a_front_s_link(directory):
+def test_catalog_takes_a_few_milliseconds_of_a_front_link(directory):
     frame = _build_frame(EndpointChanges(directory.list_updates()))
     # 10 Mbit/s: 1,250 bytes a millisecond.
     assert len(frame) < 5 * 1250
--- a/tests/unit/gateway/test_update_batch.py
+++ b/tests/unit/gateway/test_update_batch.py
@@ -1,7 +1,6 @@
-"""News of upstreams in numbers: all registrations of a fleet within one heartbeat.
+"""Batching of upstream updates when a whole fleet registers within one heartbeat.
 
-The pattern is the start of 3,000 upstreams before five control instances and 300
-fronts, each heartbeat 1.2 s long: the messages to each front must not grow with them.
+The number of messages to a front must not grow with the number of upstreams.
 """
 
 from hypothesis import given, strategies as st
@@ -12,7 +11,7 @@
 from scalebend.core.gateway.update_batch import BATCH_INTERVAL_S, UpdateBatch
 from scalebend.models.endpoints import EndpointNews
 from tests.lib.gateway_builders import SERVICE, build_endpoint
-from tests.unit.gateway.test_control_instance import FRONT, Single
+from tests.unit.gateway.test_control_instance import FRONT, SingleMemberGroup
 
 HEARTBEAT = 1.2
 
@@ -26,23 +25,23 @@
 
 
 def test_fronts_get_few_messages_when_a_fleet_starts():
-    single = Single()
-    single.run()
-    single.instance.add_front(FRONT, single.now)
-    began, sent = single.now, []
+    group = SingleMemberGroup()
+    group.run()
+    group.instance.add_front(FRONT, group.now)
+    began, sent = group.now, []
     for number in range(3_000):
         now = began + HEARTBEAT * number / 3_000
         endpoint = build_endpoint(number, address=f"10.1.{number // 250}.1:{number}")
-        sent += single.instance.register(endpoint, now)
+        sent += group.instance.register(endpoint, now)
         if number % 50 == 0:
-            sent += single.instance.advance(now)
-    sent += single.instance.advance(began + HEARTBEAT + BATCH_INTERVAL_S)
+            sent += group.instance.advance(now)
+    sent += group.instance.advance(began + HEARTBEAT + BATCH_INTERVAL_S)
     messages = [
         one.message
         for one in sent
         if isinstance(one, ToFront) and isinstance(one.message, EndpointChanges)
     ]
-    # The first is told of at once, and the catalogue of a front comes with the others.
+    # Beyond the batches: the first update, sent immediately, and the full catalog.
     assert len(messages) <= HEARTBEAT / BATCH_INTERVAL_S + 4
     front = EndpointDirectory(100.0, registrations_to_regain_address=1)
     for message in messages:
@@ -51,19 +50,19 @@
     assert len(front.list_usable(SERVICE)) == 3_000
 
 
-def test_news_alone_are_sent_at_once():
+def test_single_updates_are_sent_immediately():
     batch = UpdateBatch()
     assert batch.add([build_news(1)], 0.0) == [build_news(1)]
     assert batch.add([build_news(2)], BATCH_INTERVAL_S) == [build_news(2)]
     assert batch.take_due(9.0) == []
 
 
-def test_upstream_that_leaves_is_told_of_at_once_after_what_was_held():
+def test_draining_or_gone_upstream_flushes_the_batch():
     batch = UpdateBatch()
     batch.add([build_news(1)], 0.0)
     assert batch.add([build_news(2)], 0.01) == []
-    drains = build_news(3, is_draining=True)
-    assert batch.add([drains], 0.02) == [build_news(2), drains]
+    is_draining = build_news(3, is_draining=True)
+    assert batch.add([is_draining], 0.02) == [build_news(2), is_draining]
     gone = EndpointNews(build_endpoint(1), is_gone=True)
     assert batch.add([gone], 0.03) == [gone]
 
@@ -75,24 +74,24 @@
 
 
 @given(EVENTS)
-def test_receiver_ends_with_the_last_word_on_each_upstream(events):
-    batch, true = (
+def test_receiver_ends_with_the_latest_update_of_each_upstream(events):
+    batch, expected = (
         UpdateBatch(),
         EndpointDirectory(100.0, registrations_to_regain_address=1),
     )
-    told = EndpointDirectory(100.0, registrations_to_regain_address=1)
+    receiver = EndpointDirectory(100.0, registrations_to_regain_address=1)
     now = 0.0
-    for sequence, (number, pause, drains, asks) in enumerate(events, 1):
-        now += pause
-        one = build_news(number, sequence=sequence, is_draining=drains)
-        true.merge(one, now)
+    for sequence, (number, delay, is_draining, is_polled) in enumerate(events, 1):
+        now += delay
+        one = build_news(number, sequence=sequence, is_draining=is_draining)
+        expected.merge(one, now)
         sent = batch.add([one], now)
-        if asks:
+        if is_polled:
             sent += batch.take_due(now)
         for news in sent:
-            told.merge(news, now)
-        if drains:
+            receiver.merge(news, now)
+        if is_draining:
             assert sent[-1:] == [one]
     for news in batch.take_due(now + BATCH_INTERVAL_S):
-        told.merge(news, now)
-    assert list_ids(told) == list_ids(true)
+        receiver.merge(news, now)
+    assert list_ids(receiver) == list_ids(expected)
--- a/tests/unit/test_fingerprints.py
+++ b/tests/unit/test_fingerprints.py
@@ -1,30 +1,30 @@
-"""Requests are told apart by caller and content, not by the attempt they come with."""
+"""Fingerprints depend on the customer and the content, not on the attempt."""
 
 import itertools
 
 from scalebend.core.fingerprints import compute_fingerprint
 from scalebend.models.ids import CustomerId
 
-USUAL = (CustomerId("crew"), "POST", "a.example", "/x/1?y=2", b"body")
+REQUEST = (CustomerId("crew"), "POST", "a.example", "/x/1?y=2", b"body")
 
 
-def test_same_request_has_the_same_name_at_every_process():
-    assert compute_fingerprint(*USUAL) == "6067cf4ca715d73c04963ffc"
-    assert compute_fingerprint(*USUAL[:2], "A.example", *USUAL[3:]) == (
-        compute_fingerprint(*USUAL)
+def test_same_request_has_the_same_fingerprint_in_every_process():
+    assert compute_fingerprint(*REQUEST) == "6067cf4ca715d73c04963ffc"
+    assert compute_fingerprint(*REQUEST[:2], "A.example", *REQUEST[3:]) == (
+        compute_fingerprint(*REQUEST)
     )
 
 
-def test_each_part_tells_requests_apart():
+def test_each_part_changes_the_fingerprint():
     others = (CustomerId("crew2"), "GET", "b.example", "/x/1?y=3", b"bodY")
     changed = [
-        (*USUAL[:at], other, *USUAL[at + 1 :]) for at, other in enumerate(others)
+        (*REQUEST[:at], other, *REQUEST[at + 1 :]) for at, other in enumerate(others)
     ]
-    names = [compute_fingerprint(*one) for one in [USUAL, *changed]]
+    names = [compute_fingerprint(*one) for one in [REQUEST, *changed]]
     assert all(a != b for a, b in itertools.combinations(names, 2))
 
 
-def test_parts_do_not_run_into_each_other():
+def test_boundaries_between_parts_change_the_fingerprint():
     one = compute_fingerprint(CustomerId("ab"), "POST", "c.example", "/d", b"")
     other = compute_fingerprint(CustomerId("a"), "bPOST", "c.example", "/d", b"")
     assert one != other
