--- a/src/scalebend/core/crash_ledger.py
+++ b/src/scalebend/core/crash_ledger.py
@@ -51,22 +51,22 @@
 
 
 class _Record(msgspec.Struct):
-    ended: dict[UpstreamId, None]
+    crashed: dict[UpstreamId, None]
     updated_at: float
     quarantined_until: float = -math.inf
     is_observed_here: bool = False
     """Whether this process observed one of the crashes."""
 
-    def add_upstreams(self, ended: Iterable[UpstreamId], now: float) -> bool:
+    def add_upstreams(self, upstreams: Iterable[UpstreamId], now: float) -> bool:
         """Add crashed upstreams; return whether any of them is new."""
-        before = len(self.ended)
-        for upstream in ended:
-            if len(self.ended) < MAX_UPSTREAMS_PER_RECORD:
-                self.ended[upstream] = None
-        if len(self.ended) == before:
+        before = len(self.crashed)
+        for upstream in upstreams:
+            if len(self.crashed) < MAX_UPSTREAMS_PER_RECORD:
+                self.crashed[upstream] = None
+        if len(self.crashed) == before:
             return False
         self.updated_at = now
-        beyond = len(self.ended) - CRASHES_UNTIL_QUARANTINE
+        beyond = len(self.crashed) - CRASHES_UNTIL_QUARANTINE
         if beyond >= 0:
             self.quarantined_until = now + min(
                 LONGEST_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0**beyond
@@ -92,8 +92,8 @@
 
         Returns the record to publish if it changed.
         """
-        answered_at = self._succeeded_at.get(fingerprint, -math.inf)
-        if now - answered_at < SUCCESS_RETENTION_S:
+        succeeded_at = self._succeeded_at.get(fingerprint, -math.inf)
+        if now - succeeded_at < SUCCESS_RETENTION_S:
             return None
         if not self._update_record(fingerprint, [upstream], now):
             return None
@@ -103,9 +103,9 @@
             "request lost with its upstream",
             fingerprint=fingerprint,
             upstream=upstream,
-            ended=len(record.ended),
+            ended=len(record.crashed),
         )
-        return CrashRecord(fingerprint, tuple(record.ended))
+        return CrashRecord(fingerprint, tuple(record.crashed))
 
     def record_response(self, fingerprint: Fingerprint, now: float) -> bool:
         """Record a complete response; return whether the request was suspect."""
@@ -120,7 +120,7 @@
     def merge(self, records: Iterable[CrashRecord], now: float) -> list[CrashRecord]:
         """Merge records of another process; return in full those that changed."""
         return [
-            CrashRecord(one.fingerprint, tuple(self._records[one.fingerprint].ended))
+            CrashRecord(one.fingerprint, tuple(self._records[one.fingerprint].crashed))
             for one in records
             if self._update_record(one.fingerprint, one.ended, now)
         ]
@@ -153,7 +153,7 @@
     def list_records(self) -> list[CrashRecord]:
         """List all records, for a process that has none yet."""
         return [
-            CrashRecord(fingerprint, tuple(record.ended))
+            CrashRecord(fingerprint, tuple(record.crashed))
             for fingerprint, record in self._records.items()
         ]
 
@@ -164,7 +164,7 @@
         published by the processes that observed them.
         """
         return [
-            CrashRecord(fingerprint, tuple(record.ended))
+            CrashRecord(fingerprint, tuple(record.crashed))
             for fingerprint, record in self._records.items()
             if record.is_observed_here or now < record.quarantined_until
         ]
@@ -182,21 +182,21 @@
         self.changes += len(old)
 
     def _update_record(
-        self, fingerprint: Fingerprint, ended: Iterable[UpstreamId], now: float
+        self, fingerprint: Fingerprint, upstreams: Iterable[UpstreamId], now: float
     ) -> bool:
         record = self._records.get(fingerprint)
         if record is None:
             self._evict_if_full()
             record = self._records[fingerprint] = _Record({}, now)
         was_quarantined = now < record.quarantined_until
-        if not record.add_upstreams(ended, now):
+        if not record.add_upstreams(upstreams, now):
             return False
         self.changes += 1
         if now < record.quarantined_until and not was_quarantined:
             logger.warning(
                 "request held back",
                 fingerprint=fingerprint,
-                ended=list(record.ended),
+                ended=list(record.crashed),
                 seconds=round(record.quarantined_until - now),
             )
         return True
@@ -206,7 +206,7 @@
         if len(self._records) < MAX_RECORDS:
             return
         for fingerprint, record in self._records.items():
-            if len(record.ended) == 1:
+            if len(record.crashed) == 1:
                 del self._records[fingerprint]
                 return
         del self._records[next(iter(self._records))]
--- a/src/scalebend/core/gateway/update_batch.py
+++ b/src/scalebend/core/gateway/update_batch.py
@@ -21,7 +21,7 @@
     """Pending updates for the next message, the latest one of each upstream."""
 
     def __init__(self) -> None:
-        self._held: dict[UpstreamId, EndpointNews] = {}
+        self._pending: dict[UpstreamId, EndpointNews] = {}
         self._due_at = -math.inf
 
     def add(self, updates: list[EndpointNews], now: float) -> list[EndpointNews]:
@@ -32,18 +32,18 @@
         """
         for one in updates:
             # Ordered by latest update, as an address may move between upstreams.
-            self._held.pop(one.endpoint.upstream, None)
-            self._held[one.endpoint.upstream] = one
+            self._pending.pop(one.endpoint.upstream, None)
+            self._pending[one.endpoint.upstream] = one
         if any(one.is_gone or one.endpoint.is_draining for one in updates):
             return self._take(now)
         return self.take_due(now)
 
     def take_due(self, now: float) -> list[EndpointNews]:
         """Take all pending updates if the next message is due."""
-        return self._take(now) if self._held and now >= self._due_at else []
+        return self._take(now) if self._pending and now >= self._due_at else []
 
     def _take(self, now: float) -> list[EndpointNews]:
-        taken = list(self._held.values())
-        self._held.clear()
+        taken = list(self._pending.values())
+        self._pending.clear()
         self._due_at = now + BATCH_INTERVAL_S
         return taken
