--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -112,7 +112,8 @@
         self.lease = KeyLease(
             bounds.key_revocation, is_strict=bounds.is_revocation_strict
         )
-        self.directory = EndpointDirectory(ENDPOINT_TIMEOUT_S, heard_again=1)
+        self.directory = EndpointDirectory(ENDPOINT_TIMEOUT_S, registrations_to_regain_address=1
+        )
         self.balancer = ServiceBalancer()
         self.crashes = CrashLedger()
         self.limits = FrontLimits(settings.instance, now)
@@ -308,7 +309,7 @@
             ToControl(status.leader, Subscribe(self.table.routing.version)),
             ToControl(status.leader, OpenJobs(self._jobs.list_open(now))),
             ToControl(status.leader, self._build_lease_request(now)),
-            *self._report_crashes(self.crashes.list_to_tell(now)),
+            *self._report_crashes(self.crashes.list_to_publish(now)),
         ]
 
     def _build_lease_request(self, now: float) -> LeaseRequest:
@@ -454,7 +455,7 @@
 
         Return ``None`` if it was known.
         """
-        if self.directory.note_draining(upstream) is None:
+        if self.directory.record_draining(upstream) is None:
             return None
         self._draining[upstream] = None
         return self._report_draining([upstream])
@@ -468,12 +469,12 @@
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> list[ToControl]:
         """Record that an upstream crashed or disconnected during a request."""
-        record = self.crashes.note_lost(fingerprint, upstream, now)
+        record = self.crashes.record_crash(fingerprint, upstream, now)
         return self._report_crashes([record]) if record is not None else []
 
     def record_completed(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
         """Record that an upstream gave a complete response to the request."""
-        if not self.crashes.note_answered(fingerprint, now):
+        if not self.crashes.record_response(fingerprint, now):
             return []
         return self._send_to_leader(CrashUpdates([], [fingerprint]))
 
@@ -491,7 +492,7 @@
         ended = [
             upstream
             for upstream in unanswered
-            if upstream in superseded or self.directory.has_ended(upstream)
+            if upstream in superseded or self.directory.is_lost(upstream)
         ]
         actions = []
         for upstream in ended:
--- a/src/scalebend/edges/gateway/relay_server.py
+++ b/src/scalebend/edges/gateway/relay_server.py
@@ -81,7 +81,7 @@
 
     def _receive(self, peer: Introduce, message: LinkMessage) -> None:
         if isinstance(message, Hello):
-            reply = self.instance.answer_hello(peer.instance, message)
+            reply = self.instance.reply_to_hello(peer.instance, message)
             self.server.send(peer.instance, reply)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
