--- a/src/scalebend/core/claims.py
+++ b/src/scalebend/core/claims.py
@@ -1,8 +1,8 @@
 """Claims on idempotency keys: a replicated table, changed only through the log.
 
-A request that is not to be repeated claims its key before its first byte is sent.
-The claim is settled with the answer, or withdrawn when the request provably did not
-run. Whoever comes later with the same key is told what is known.
+A non-idempotent request claims its key before its first byte is sent. The claim is
+settled with the response, or withdrawn if the request provably did not run. Later
+requests with the same key get the state of the claim and the stored response.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from scalebend.models.ids import CustomerId, IdempotencyKey, RequestId
 
 CLAIM_LIFETIME = 24 * 3600.0
-"""Seconds a claim is kept after its last change."""
+"""Time a claim is kept after its last change."""
 
 MOST_STORED_BODY = 16 * 1024
-"""Bytes of an answer kept with its claim; a larger one is not stored."""
+"""Size limit of a response body stored with its claim."""
 
 MOST_CLAIMS = 200_000
 
 
 class ClaimState(Enum):
-    """What is known of the request that holds a claim."""
+    """State of the request that holds a claim."""
 
     OPEN = "open"
     SETTLED = "settled"
@@ -31,7 +31,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """The first request's answer; ``body`` is ``None`` when it was too large."""
+    """Response to the first request; ``body`` is ``None`` if it was too large."""
 
     status: int
     content_type: str
@@ -48,7 +48,7 @@
 
 
 class Settle(msgspec.Struct, frozen=True, tag=True):
-    """Command: the request that holds the claim was answered."""
+    """Command: store the response to the request that holds the claim."""
 
     customer: CustomerId
     key: IdempotencyKey
@@ -57,7 +57,7 @@
 
 
 class Withdraw(msgspec.Struct, frozen=True, tag=True):
-    """Command: the request that holds the claim ran nowhere."""
+    """Command: give up the claim of a request that did not run."""
 
     customer: CustomerId
     key: IdempotencyKey
@@ -65,18 +65,18 @@
 
 
 class ClaimTaken(msgspec.Struct, frozen=True, tag=True):
-    """Result: the claim is held by the request that asked."""
+    """Result: the requesting request holds the claim."""
 
 
 class ClaimKnown(msgspec.Struct, frozen=True, tag=True):
-    """Result: another request holds the claim; its answer if it is settled."""
+    """Result: another request holds the claim; with its response if it is settled."""
 
     state: ClaimState
     answer: StoredAnswer | None
 
 
 class ClaimConflict(msgspec.Struct, frozen=True, tag=True):
-    """Result: the key belongs to a request with other content."""
+    """Result: the key was used by a request with different content."""
 
 
 ClaimCommand = Claim | Settle | Withdraw
@@ -84,7 +84,7 @@
 
 
 class ClaimRecord(msgspec.Struct):
-    """One claim as it stands in the table and in snapshots."""
+    """One claim, as stored in the table and in snapshots."""
 
     customer: CustomerId
     key: IdempotencyKey
@@ -96,7 +96,7 @@
 
 
 class ClaimTable:
-    """All claims; deterministic, since every control instance applies the same."""
+    """All claims; deterministic, since every control instance applies the same log."""
 
     def __init__(self) -> None:
         self._records: dict[tuple[CustomerId, IdempotencyKey], ClaimRecord] = {}
@@ -105,10 +105,10 @@
         return len(self._records)
 
     def apply(self, command: ClaimCommand, at: float) -> ClaimResult:
-        """Apply one committed command; ``at`` is the time in its log entry."""
-        self._drop_expired(at)
-        place = (command.customer, command.key)
-        record = self._records.get(place)
+        """Apply one committed command; ``at`` is the time of its log entry."""
+        self._remove_expired(at)
+        record_key = (command.customer, command.key)
+        record = self._records.get(record_key)
         match command:
             case Claim():
                 return self._claim(command, record, at)
@@ -116,13 +116,13 @@
                 if record is not None and record.request == command.request:
                     record.state = ClaimState.SETTLED
                     record.answer = command.answer
-                    self._touch(place, record, at)
+                    self._mark_changed(record_key, record, at)
             case Withdraw():
                 self._withdraw(command, record, at)
         return ClaimTaken()
 
     def export(self) -> list[ClaimRecord]:
-        """All records, for a snapshot."""
+        """Return all records, for a snapshot."""
         return list(self._records.values())
 
     def restore(self, records: list[ClaimRecord]) -> None:
@@ -146,8 +146,8 @@
     def _withdraw(
         self, command: Withdraw, record: ClaimRecord | None, at: float
     ) -> None:
-        # A record stays behind, so that the claim cannot take effect after it: the
-        # two commands may be committed in either order.
+        # The record is kept, so that a claim committed after its withdrawal has no
+        # effect: the two commands may be committed in either order.
         if record is None:
             self._put(command, "", ClaimState.WITHDRAWN, at)
         elif record.request == command.request and record.state is ClaimState.OPEN:
@@ -156,27 +156,27 @@
     def _put(
         self, command: Claim | Withdraw, fingerprint: str, state: ClaimState, at: float
     ) -> None:
-        place = (command.customer, command.key)
-        self._records.pop(place, None)
-        self._records[place] = ClaimRecord(
+        record_key = (command.customer, command.key)
+        self._records.pop(record_key, None)
+        self._records[record_key] = ClaimRecord(
             command.customer, command.key, fingerprint, command.request, state, None, at
         )
 
-    def _touch(
+    def _mark_changed(
         self,
-        place: tuple[CustomerId, IdempotencyKey],
+        record_key: tuple[CustomerId, IdempotencyKey],
         record: ClaimRecord,
         at: float,
     ) -> None:
-        # Kept in order of the last change, so that expiry looks at the front only.
+        # Ordered by last change, so that expiry only reads the first records.
         record.changed = at
-        del self._records[place]
-        self._records[place] = record
+        del self._records[record_key]
+        self._records[record_key] = record
 
-    def _drop_expired(self, at: float) -> None:
+    def _remove_expired(self, at: float) -> None:
         while self._records:
-            place, oldest = next(iter(self._records.items()))
+            record_key, oldest = next(iter(self._records.items()))
             is_expired = at - oldest.changed >= CLAIM_LIFETIME
             if not is_expired and len(self._records) <= MOST_CLAIMS:
                 return
-            del self._records[place]
+            del self._records[record_key]
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -1,8 +1,8 @@
-"""Way of a request through the instance that admitted it.
+"""Request handling at the instance that admitted the request.
 
-The entry chooses the replica, reserves at its owner, starts the attempt when the
+The entry chooses a replica, reserves memory at its owner, starts the attempt once the
 owner grants it, retries where that is safe, and concludes every request within its
-time limit. No I/O: events and the present time in, actions out.
+time limit. No I/O: methods take an event and the current time and return actions.
 """
 
 from __future__ import annotations
@@ -72,15 +72,15 @@
 MOST_TRIES = 4
 MOST_RESUMES = 3
 OWNER_CHANGE_DELAY = 0.15
-"""Seconds before a request is routed anew after it met an instance that does not
-own the replica (any more, or yet)."""
+"""Delay before a request is routed again after an instance that does not own the
+replica (any more, or yet) refused it."""
 
 RESERVE_RESEND = 1.0
-"""Seconds without an answer after which a reservation is sent again."""
+"""Time without a reply after which a reservation is sent again."""
 
 
 class EntryOptions(msgspec.Struct, frozen=True):
-    """Identity and policy of an entry."""
+    """Identity and scheduling strategy of an entry."""
 
     instance: InstanceId
     availability_zone: AvailabilityZone
@@ -89,7 +89,7 @@
 
 
 class Entry:
-    """All admitted requests of one instance."""
+    """All requests that one instance admitted and has not concluded."""
 
     def __init__(self, options: EntryOptions, catalog: Catalog) -> None:
         self.catalog = catalog
@@ -101,30 +101,30 @@
             seed=options.seed,
         )
         self._strategy = options.strategy
-        self._chooser = random.Random(options.seed)
-        self._budget = RetryBudget()
+        self._random = random.Random(options.seed)
+        self._retry_budget = RetryBudget()
         self.crashes = CrashWatch()
         self._flows: dict[RequestId, Flow] = {}
-        self._requests: dict[AttemptId, RequestId] = {}
+        self._request_ids: dict[AttemptId, RequestId] = {}
         self._attempt_count = 0
 
     def __len__(self) -> int:
         return len(self._flows)
 
     def admit(self, request: Request, now: float) -> list[EntryAction]:
-        """Take an admitted request and route it."""
-        self._budget.earn()
+        """Register an admitted request and route it."""
+        self._retry_budget.earn()
         flow = Flow(request)
         self._flows[request.request] = flow
         return self._route(flow, now)
 
     def take_digest(self, digest: LoadDigest) -> None:
-        """Take a newer load digest of a replica."""
+        """Apply a newer load digest of a replica."""
         self.catalog.take_digest(digest)
         self.placement.pending.forget(digest.upstream)
 
     def handle_grant(self, grant: Grant, now: float) -> list[EntryAction]:
-        """The owner lets an attempt start."""
+        """Handle the owner's permission to start an attempt."""
         flow = self._find_flow(grant.attempt)
         if flow is None or flow.attempt is None:
             release = Release(grant.attempt, grant.upstream, Outcome.UNUSED)
@@ -132,9 +132,9 @@
         attempt = flow.attempt
         if attempt.has_all_grants():
             return []
-        if attempt.works[attempt.granted].upstream != grant.upstream:
+        if attempt.works[attempt.granted_count].upstream != grant.upstream:
             return []
-        attempt.granted += 1
+        attempt.granted_count += 1
         if not attempt.has_all_grants():
             return [self._reserve_next(flow, now)]
         if flow.state is FlowState.MOVING:
@@ -146,21 +146,21 @@
         return [ClaimKey(flow.request.request)]
 
     def handle_refusal(self, refusal: Refusal, now: float) -> list[EntryAction]:
-        """The owner will not start an attempt; it ran nowhere."""
+        """Handle an owner's refusal: the attempt did not run."""
         flow = self._find_flow(refusal.attempt)
         if flow is None or flow.attempt is None or flow.attempt.has_all_grants():
             return []
         if flow.state is FlowState.MOVING:
             if refusal.reason is RefusalReason.NOT_OWNER:
-                # The reservation is sent again, at the latest by the next renewal.
+                # renew() or handle_owner_changed() sends the reservation again.
                 return []
-            return self._move_elsewhere(flow, refusal.upstream, now)
+            return self._reserve_other_decode(flow, refusal.upstream, now)
         actions = self._release_attempt(flow, Outcome.UNUSED)
         delay = 0.0
         if refusal.reason is RefusalReason.NOT_OWNER:
-            # Ownership is changing hands: this says nothing against the replica, and
-            # the newer instance list is on its way.
-            flow.tries -= 1
+            # Ownership is moving to another instance: the replica is not at fault, and
+            # the newer instance list is about to arrive.
+            flow.try_count -= 1
             delay = OWNER_CHANGE_DELAY
         else:
             flow.excluded.add(refusal.upstream)
@@ -174,7 +174,7 @@
     def handle_claim(
         self, request: RequestId, error: ScalebendError | None, now: float
     ) -> list[EntryAction]:
-        """The control group answered a claim; ``error`` says why it did not take."""
+        """Handle the result of a claim; ``error`` tells why it was rejected."""
         flow = self._flows.get(request)
         if flow is None or flow.state is not FlowState.CLAIMING:
             return []
@@ -184,13 +184,13 @@
         return self._start(flow, now)
 
     def handle_started(self, attempt: AttemptId, now: float) -> list[EntryAction]:
-        """The first token of an attempt arrived."""
+        """Handle the arrival of an attempt's first token."""
         flow = self._find_flow(attempt)
         if flow is None or flow.attempt is None:
             return []
         current = flow.attempt
         if current.part is Part.DECODE:
-            return self._finish_move(flow)
+            return self._finish_transfer(flow)
         if not current.was_sent or current.state is AttemptState.RUNNING:
             return []
         current.state = AttemptState.RUNNING
@@ -203,22 +203,22 @@
     def handle_result(
         self, attempt: AttemptId, result: AttemptResult, now: float
     ) -> list[EntryAction]:
-        """An attempt ended, as far as the connection to the upstream tells."""
+        """Handle the end of an attempt as the connection to the upstream shows it."""
         flow = self._find_flow(attempt)
         if flow is None or flow.attempt is None:
             return []
         lead = flow.attempt.lead
         match result:
             case Prefilled():
-                return self._move(flow, now)
+                return self._reserve_decode(flow, now)
             case Completed():
                 self.placement.outliers.record_success(lead)
-                self._learn(flow)
+                self._record_prefix(flow)
                 self.crashes.record_response(flow.request, now)
                 return self._conclude(flow, None, result.output_tokens)
             case NeverStarted(detail) if flow.attempt.part is Part.DECODE:
                 self._record_failure(lead, now)
-                return self._move_elsewhere(flow, lead, now)
+                return self._reserve_other_decode(flow, lead, now)
             case NeverStarted(detail, retry_after, may_hold_memory):
                 self._record_failure(lead, now)
                 flow.attempt.never_started = True
@@ -226,7 +226,7 @@
                 outcome = Outcome.ABANDONED if may_hold_memory else Outcome.UNUSED
                 return self._fail_attempt(flow, error, now, outcome)
             case Broken():
-                return self._handle_broken(flow, result, now)
+                return self._handle_interrupted(flow, result, now)
             case Garbled(detail):
                 self._record_failure(lead, now)
                 flow.attempt.state = AttemptState.RUNNING
@@ -234,12 +234,12 @@
                 return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
 
     def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
-        """A replica turned a request away, and wants nothing for ``seconds``."""
+        """Record the backoff that a replica asked for when it rejected a request."""
         logger.info("backoff heard", upstream=upstream, seconds=seconds)
         self.placement.note_backoff(upstream, seconds, now)
 
     def cancel(self, request: RequestId, now: float) -> list[EntryAction]:
-        """The caller went away; give back what its request held."""
+        """Conclude the request of a caller that disconnected."""
         flow = self._flows.get(request)
         if flow is None:
             return []
@@ -250,7 +250,7 @@
     def handle_upstream_gone(
         self, upstream: UpstreamId, now: float
     ) -> list[EntryAction]:
-        """An upstream fell silent: attempts not sent yet are routed anew."""
+        """Handle an unresponsive upstream: attempts not sent yet are routed again."""
         self.placement.prefixes.forget_replica(upstream)
         self.placement.pending.forget(upstream)
         actions: list[EntryAction] = []
@@ -259,58 +259,58 @@
             if attempt is None or upstream not in attempt.upstreams:
                 continue
             if flow.state is FlowState.MOVING and upstream != attempt.lead:
-                actions += self._move_elsewhere(flow, upstream, now)
+                actions += self._reserve_other_decode(flow, upstream, now)
             elif attempt.was_sent:
-                broken = Broken(f"{upstream} fell silent")
-                actions += self._handle_broken(flow, broken, now)
+                interrupted = Broken(f"{upstream} became unresponsive")
+                actions += self._handle_interrupted(flow, interrupted, now)
             elif flow.state is FlowState.RESERVING:
-                flow.last_error = UpstreamError(f"{upstream} fell silent")
+                flow.last_error = UpstreamError(f"{upstream} became unresponsive")
                 actions += self._release_attempt(flow, Outcome.UNUSED)
                 actions += self._retry(flow, now, delay=0.0)
         return actions
 
     def renew(self, now: float) -> list[EntryAction]:
-        """Renew what is held and repeat unanswered reservations; once a second."""
-        actions = self._renew_held(None)
+        """Renew granted reservations, resend those without a reply; once a second."""
+        actions = self._renew_granted(None)
         self.placement.backoffs.expire(now)
         for flow in self._flows.values():
             attempt = flow.attempt
             if attempt is None or attempt.has_all_grants():
                 continue
-            if now - attempt.sent_reserve >= RESERVE_RESEND:
+            if now - attempt.reserve_sent_at >= RESERVE_RESEND:
                 actions.append(self._reserve_next(flow, now))
         return actions
 
     def handle_owner_changed(
         self, upstreams: set[UpstreamId], now: float
     ) -> list[EntryAction]:
-        """Tell the new owners at once what is held and what waits."""
-        actions = self._renew_held(upstreams)
+        """Send the new owners at once the granted and the pending reservations."""
+        actions = self._renew_granted(upstreams)
         for flow in self._flows.values():
             attempt = flow.attempt
             if attempt is None or attempt.has_all_grants():
                 continue
-            if attempt.works[attempt.granted].upstream in upstreams:
+            if attempt.works[attempt.granted_count].upstream in upstreams:
                 actions.append(self._reserve_next(flow, now))
         return actions
 
-    def _renew_held(self, upstreams: set[UpstreamId] | None) -> list[EntryAction]:
-        """One renewal for each of ``upstreams``, or of all when it is ``None``."""
-        held: dict[UpstreamId, list[Work]] = {}
+    def _renew_granted(self, upstreams: set[UpstreamId] | None) -> list[EntryAction]:
+        """Build one renewal for each of ``upstreams``; for all if it is ``None``."""
+        granted: dict[UpstreamId, list[Work]] = {}
         for flow in self._flows.values():
             attempt = flow.attempt
             if attempt is None:
                 continue
-            for work in attempt.works[: attempt.granted]:
+            for work in attempt.works[: attempt.granted_count]:
                 if upstreams is None or work.upstream in upstreams:
-                    held.setdefault(work.upstream, []).append(work)
+                    granted.setdefault(work.upstream, []).append(work)
         return [
             ToOwner(upstream, Renew(upstream, works))
-            for upstream, works in held.items()
+            for upstream, works in granted.items()
         ]
 
     def advance(self, now: float) -> list[EntryAction]:
-        """Conclude what is past its time limit; start retries that are due."""
+        """Conclude requests past their time limit; start retries that are due."""
         actions: list[EntryAction] = []
         for flow in list(self._flows.values()):
             if now >= flow.request.deadline:
@@ -323,39 +323,41 @@
 
     def _route(self, flow: Flow, now: float) -> list[EntryAction]:
         request = flow.request
-        held = self.crashes.find_quarantine(request, now)
-        if held is not None:
-            return self._conclude(flow, flow.last_error or held)
+        quarantine_error = self.crashes.find_quarantine(request, now)
+        if quarantine_error is not None:
+            return self._conclude(flow, flow.last_error or quarantine_error)
         self._attempt_count += 1
         name = AttemptId(f"{request.request}.{self._attempt_count}")
         placed = self.placement.place(request, name, flow.excluded, now)
         if placed is None:
             return self._refuse_unroutable(flow, now)
-        flow.tries += 1
+        flow.try_count += 1
         part = Part.PREFILL if placed.is_split else Part.WHOLE
         flow.attempt = Attempt(name, placed.works, part)
         flow.state = FlowState.RESERVING
-        self._requests[name] = request.request
+        self._request_ids[name] = request.request
         return [self._reserve_next(flow, now)]
 
     def _reserve_next(self, flow: Flow, now: float) -> ToOwner:
         attempt = flow.attempt
         assert attempt is not None
-        attempt.sent_reserve = now
-        work = attempt.works[attempt.granted]
+        attempt.reserve_sent_at = now
+        work = attempt.works[attempt.granted_count]
         return ToOwner(work.upstream, Reserve(work))
 
     def _start(self, flow: Flow, now: float) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
-        held = self.crashes.find_quarantine(flow.request, now)
-        if held is not None:
-            # It became known while the request waited for its grant.
-            return self._conclude(flow, flow.last_error or held)
-        closed = [u for u in attempt.upstreams if not self.placement.may_send(u, now)]
-        if closed:
-            # They asked for a pause while the request waited for its grant.
-            flow.excluded.update(closed)
+        quarantine_error = self.crashes.find_quarantine(flow.request, now)
+        if quarantine_error is not None:
+            # The quarantine began while the request waited for its grant.
+            return self._conclude(flow, flow.last_error or quarantine_error)
+        in_backoff = [
+            u for u in attempt.upstreams if not self.placement.may_send(u, now)
+        ]
+        if in_backoff:
+            # Their backoff began while the request waited for its grant.
+            flow.excluded.update(in_backoff)
             actions = self._release_attempt(flow, Outcome.UNUSED)
             return actions + self._retry(flow, now, delay=0.0)
         attempt.state = AttemptState.SENT
@@ -372,9 +374,9 @@
             )
         ]
 
-    # Moving the KV cache
+    # Transfer of the KV cache from the prefill engine to the decode engine
 
-    def _move(self, flow: Flow, now: float) -> list[EntryAction]:
+    def _reserve_decode(self, flow: Flow, now: float) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
         source = attempt.works[0]
@@ -382,22 +384,22 @@
         excluded = flow.excluded
         work = self.placement.place_decode(flow.request, source, excluded, now)
         if work is None:
-            error = UpstreamError("no engine can decode what was prefilled")
+            error = UpstreamError("no engine can decode the prefilled request")
             return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
         attempt.works = [source, work]
-        attempt.granted = 1
+        attempt.granted_count = 1
         attempt.part = Part.PREFILL
         flow.state = FlowState.MOVING
         return [self._reserve_next(flow, now)]
 
-    def _move_elsewhere(
+    def _reserve_other_decode(
         self, flow: Flow, upstream: UpstreamId, now: float
     ) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
         flow.excluded.add(upstream)
         release = Release(attempt.attempt, upstream, Outcome.ABANDONED)
-        return [ToOwner(upstream, release), *self._move(flow, now)]
+        return [ToOwner(upstream, release), *self._reserve_decode(flow, now)]
 
     def _start_decode(self, flow: Flow) -> list[EntryAction]:
         attempt = flow.attempt
@@ -417,15 +419,15 @@
             )
         ]
 
-    def _finish_move(self, flow: Flow) -> list[EntryAction]:
-        """The decode engine has the KV cache: give the prefill engine's back."""
+    def _finish_transfer(self, flow: Flow) -> list[EntryAction]:
+        """Release the prefill engine: the decode engine has imported the KV cache."""
         attempt = flow.attempt
         assert attempt is not None
         if len(attempt.works) == 1:
             return []
         source, target = attempt.works
         attempt.works = [target]
-        attempt.granted = 1
+        attempt.granted_count = 1
         name = attempt.attempt
         return [
             ToOwner(source.upstream, Release(name, source.upstream, Outcome.ABANDONED)),
@@ -443,21 +445,21 @@
         record = self.catalog.get(upstream)
         return record.announcement.incarnation if record is not None else None
 
-    def _handle_broken(
-        self, flow: Flow, broken: Broken, now: float
+    def _handle_interrupted(
+        self, flow: Flow, interrupted: Broken, now: float
     ) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
         record = self.catalog.get(attempt.lead)
-        can_resume = attempt.state is AttemptState.RUNNING and record is not None
-        if can_resume and attempt.resumes < MOST_RESUMES:
+        may_resume = attempt.state is AttemptState.RUNNING and record is not None
+        if may_resume and attempt.resumes < MOST_RESUMES:
             attempt.resumes += 1
             return [ResumeAttempt(attempt.attempt)]
         self._record_failure(attempt.lead, now)
-        if broken.may_have_ended:
+        if interrupted.may_have_ended:
             lead, incarnation = attempt.lead, attempt.incarnation
             self.crashes.record_crash(flow.request, lead, incarnation, now)
-        error = UpstreamError(broken.detail)
+        error = UpstreamError(interrupted.detail)
         return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
 
     def _fail_attempt(
@@ -471,14 +473,14 @@
         is_safe = attempt.never_started or flow.request.repeatable
         if not is_safe or flow.has_delivered:
             return actions + self._conclude(flow, error)
-        if not self._budget.spend():
+        if not self._retry_budget.spend():
             return actions + self._conclude(flow, error)
-        delay = compute_delay(flow.tries, self._chooser)
+        delay = compute_delay(flow.try_count, self._random)
         return actions + self._retry(flow, now, delay=delay)
 
     def _retry(self, flow: Flow, now: float, *, delay: float) -> list[EntryAction]:
-        if flow.tries >= MOST_TRIES:
-            error = flow.last_error or RefusedError("no replica took the request")
+        if flow.try_count >= MOST_TRIES:
+            error = flow.last_error or RefusedError("no replica accepted the request")
             return self._conclude(flow, error)
         flow.state = FlowState.WAITING_TO_RETRY
         flow.retry_at = now + delay
@@ -491,16 +493,16 @@
             return self._conclude(flow, flow.last_error)
         request = flow.request
         serving = self.catalog.list_candidates(request, set())
-        pause = self.placement.compute_backoff(request, now)
-        if pause > 0.0:
+        backoff = self.placement.compute_backoff(request, now)
+        if backoff > 0.0:
             error = RefusedError(
-                "all upstreams that serve this request asked for a pause",
+                "all upstreams that serve this request are in backoff",
                 kind=ErrorKind.OVERLOADED,
-                retry_after=pause,
+                retry_after=backoff,
             )
         elif serving and request.model is not None:
             error = RefusedError(
-                f"{request.memory_tokens} tokens fit no {MOST_GROUP} engines",
+                f"{request.memory_tokens} tokens do not fit into {MOST_GROUP} engines",
                 kind=ErrorKind.PROMPT_TOO_LONG,
             )
         else:
@@ -529,24 +531,24 @@
             return []
         flow.attempt = None
         flow.ran = _combine_ran(flow.ran, attempt)
-        del self._requests[attempt.attempt]
+        del self._request_ids[attempt.attempt]
         actions: list[EntryAction] = []
         if not attempt.was_sent:
             outcome = Outcome.UNUSED
         elif outcome is not Outcome.FINISHED:
             actions.append(AbortAttempt(attempt.attempt))
-        # One reservation beyond the granted ones may be waiting at its owner.
-        for work in attempt.works[: attempt.granted + 1]:
+        # The reservation after the granted ones may be pending at its owner.
+        for work in attempt.works[: attempt.granted_count + 1]:
             self.placement.outliers.release_probe(work.upstream)
-            # What another engine than the lead holds is given back by cancelling
-            # it, however the attempt ended.
+            # Memory on other engines than the lead is released by cancelling the
+            # attempt there, however it ended.
             is_helper = work.upstream != attempt.lead and attempt.was_sent
             ended = Outcome.ABANDONED if is_helper else outcome
             release = Release(attempt.attempt, work.upstream, ended, output_tokens)
             actions.append(ToOwner(work.upstream, release))
         return actions
 
-    def _learn(self, flow: Flow) -> None:
+    def _record_prefix(self, flow: Flow) -> None:
         request = flow.request
         attempt = flow.attempt
         if attempt is not None and attempt.part is Part.WHOLE:
@@ -557,7 +559,7 @@
             logger.warning("replica set aside", upstream=upstream)
 
     def _find_flow(self, attempt: AttemptId) -> Flow | None:
-        request = self._requests.get(attempt)
+        request = self._request_ids.get(attempt)
         return self._flows.get(request) if request is not None else None
 
 
--- a/src/scalebend/core/flow.py
+++ b/src/scalebend/core/flow.py
@@ -20,7 +20,7 @@
 
 
 class Completed(msgspec.Struct, frozen=True):
-    """The upstream gave its whole answer; counts are its own, in tokens."""
+    """Result: the response is complete; token counts are as the upstream reported."""
 
     output_tokens: int = 0
     prompt_tokens: int = 0
@@ -28,13 +28,14 @@
 
 
 class Prefilled(msgspec.Struct, frozen=True):
-    """The first token was generated and the KV cache can be exported."""
+    """Result: the first token was generated and the KV cache can be exported."""
 
 
 class NeverStarted(msgspec.Struct, frozen=True):
-    """The upstream provably did not start the attempt.
+    """Result: the upstream provably did not start the attempt.
 
-    ``may_hold_memory``: helpers of a group may hold memory that must be cancelled.
+    ``retry_after`` is in seconds. ``may_hold_memory`` means that prefill helpers may
+    hold memory, so that the attempt must be cancelled there.
     """
 
     detail: str
@@ -43,9 +44,9 @@
 
 
 class Broken(msgspec.Struct, frozen=True):
-    """No whole answer came after the request was sent.
+    """Result: the request was sent, but the response is missing or incomplete.
 
-    ``may_have_ended``: unless the upstream said itself that it failed.
+    ``may_have_ended`` is false if the upstream itself reported the failure.
     """
 
     detail: str
@@ -53,7 +54,7 @@
 
 
 class Garbled(msgspec.Struct, frozen=True):
-    """The upstream answered something that is not a valid answer."""
+    """Result: the response of the upstream is malformed."""
 
     detail: str
 
@@ -69,10 +70,10 @@
 
 
 class Part(Enum):
-    """What of an attempt an engine runs.
+    """Phases of an attempt that one engine runs.
 
     ``PREFILL`` ends with the first token and keeps the KV cache for export;
-    ``DECODE`` imports it and goes on from the second token.
+    ``DECODE`` imports it and continues from the second token.
     """
 
     WHOLE = "whole"
@@ -81,9 +82,9 @@
 
 
 class StartAttempt(msgspec.Struct, frozen=True):
-    """Action: send the request to these replicas; the first leads.
+    """Action: send the request to these replicas; the first is the lead replica.
 
-    ``source`` is where a ``DECODE`` part imports its KV cache from.
+    ``source`` is the engine from which ``DECODE`` imports the KV cache.
     """
 
     attempt: AttemptId
@@ -95,13 +96,13 @@
 
 
 class ResumeAttempt(msgspec.Struct, frozen=True):
-    """Action: fetch the rest of a running attempt's stream again."""
+    """Action: reconnect and fetch the rest of a running attempt's stream."""
 
     attempt: AttemptId
 
 
 class AbortAttempt(msgspec.Struct, frozen=True):
-    """Action: close the connection of an attempt; its result no longer counts."""
+    """Action: close the connection of an attempt; its result is ignored."""
 
     attempt: AttemptId
 
@@ -113,7 +114,7 @@
 
 
 class Conclude(msgspec.Struct, frozen=True):
-    """Action: answer the caller; ``error`` is ``None`` after a whole answer."""
+    """Action: end the response; ``error`` is ``None`` if it is complete."""
 
     request: RequestId
     error: ScalebendError | None
@@ -127,7 +128,7 @@
 class FlowState(Enum):
     """What an admitted request is waiting for.
 
-    ``MOVING``: its KV cache is ready, and it waits for an engine to decode it.
+    ``MOVING``: prefill is done, and the request waits for a grant of a decode engine.
     """
 
     RESERVING = "reserving"
@@ -140,49 +141,50 @@
 class Attempt(msgspec.Struct):
     """The current attempt of a request and the replicas it needs.
 
-    Of a split attempt ``works`` holds the prefill engine, then the decode engine
-    too until it has imported the KV cache.
+    If prefill and decode are split, ``works`` names the prefill engine first. The
+    decode engine is added after prefill and is the only one left once it has imported
+    the KV cache.
     """
 
     attempt: AttemptId
     works: list[Work]
     part: Part = Part.WHOLE
-    granted: int = 0
+    granted_count: int = 0
     state: AttemptState = AttemptState.QUEUED
     resumes: int = 0
     never_started: bool = False
     incarnation: Incarnation | None = None
-    """Of the replica whose stream is read now, once the request was sent."""
+    """Incarnation of the lead replica; ``None`` before the request was sent."""
 
-    sent_reserve: float = 0.0
+    reserve_sent_at: float = 0.0
 
     def has_all_grants(self) -> bool:
-        """Whether every replica granted its part."""
-        return self.granted == len(self.works)
+        """Whether all reservations are granted."""
+        return self.granted_count == len(self.works)
 
     @property
     def was_sent(self) -> bool:
-        """Whether a byte may have reached the upstream."""
+        """Whether any byte of the request may have reached the upstream."""
         return self.state not in (AttemptState.QUEUED, AttemptState.GRANTED)
 
     @property
     def upstreams(self) -> tuple[UpstreamId, ...]:
-        """Names of the replicas, in reservation order."""
+        """Identifiers of the replicas, in reservation order."""
         return tuple(work.upstream for work in self.works)
 
     @property
     def lead(self) -> UpstreamId:
-        """The replica whose stream is read now."""
+        """The replica whose stream is being read."""
         return self.works[-1 if self.part is Part.DECODE else 0].upstream
 
 
 class Flow(msgspec.Struct):
-    """One request; ``ran`` is what is known of earlier and current attempts."""
+    """State of one request; ``ran`` tells whether any attempt so far may have run."""
 
     request: Request
     state: FlowState = FlowState.WAITING_TO_RETRY
     attempt: Attempt | None = None
-    tries: int = 0
+    try_count: int = 0
     retry_at: float = 0.0
     ran: Ran = Ran.NO
     is_claimed: bool = False
--- a/src/scalebend/core/ledger.py
+++ b/src/scalebend/core/ledger.py
@@ -1,8 +1,8 @@
-"""Exact account of one replica's KV memory, in tokens.
+"""Exact account of one replica's KV cache memory, in tokens.
 
-Memory is held from the grant until the engine is known to have given it back. An
-attempt that was abandoned is *owed*: its memory counts as held until the engine
-confirms the cancellation or comes back under a new incarnation.
+Memory is reserved from the grant until the engine is known to have freed it. The memory
+of an abandoned attempt counts as used until the engine confirms the cancellation or
+restarts under a new incarnation.
 """
 
 from __future__ import annotations
@@ -12,87 +12,91 @@
 from scalebend.models.ids import AttemptId
 
 RESEND_CANCEL = 0.5
-"""Seconds between two cancellations of the same owed attempt."""
+"""Time between two sends of the same unconfirmed cancellation."""
 
 
-class _Owed(msgspec.Struct):
+class _Cancellation(msgspec.Struct):
     tokens: int
     send_at: float
 
 
 class MemoryLedger:
-    """Holds and owed cancellations of one replica."""
+    """Reservations and unconfirmed cancellations of one replica."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self._held: dict[AttemptId, int] = {}
-        self._owed: dict[AttemptId, _Owed] = {}
+        self._reserved: dict[AttemptId, int] = {}
+        self._cancellations: dict[AttemptId, _Cancellation] = {}
         self._used = 0
 
     @property
     def used(self) -> int:
-        """Tokens held or owed."""
+        """Tokens reserved, or in use by attempts with an unconfirmed cancellation."""
         return self._used
 
     @property
     def free(self) -> int:
-        """Tokens that may still be granted; negative after a rebuild."""
+        """Tokens that may still be granted; renewals can make it negative."""
         return self.capacity - self._used
 
     def holds(self, attempt: AttemptId) -> bool:
-        """Whether the attempt holds memory and is not owed."""
-        return attempt in self._held
+        """Whether the attempt has a reservation and is not being cancelled."""
+        return attempt in self._reserved
 
     def knows(self, attempt: AttemptId) -> bool:
-        """Whether the attempt is held or owed."""
-        return attempt in self._held or attempt in self._owed
+        """Whether the attempt has a reservation or an unconfirmed cancellation."""
+        return attempt in self._reserved or attempt in self._cancellations
 
     def hold(self, attempt: AttemptId, tokens: int) -> None:
-        """Hold ``tokens`` for the attempt; holding twice changes nothing."""
+        """Reserve ``tokens`` for the attempt; a second call changes nothing."""
         if self.knows(attempt):
             return
-        self._held[attempt] = tokens
+        self._reserved[attempt] = tokens
         self._used += tokens
 
     def free_attempt(self, attempt: AttemptId) -> bool:
-        """Give back what the attempt held or owed; return whether it did."""
-        tokens = self._held.pop(attempt, None)
+        """Free the attempt's memory; return whether it used any."""
+        tokens = self._reserved.pop(attempt, None)
         if tokens is None:
-            owed = self._owed.pop(attempt, None)
-            if owed is None:
+            cancellation = self._cancellations.pop(attempt, None)
+            if cancellation is None:
                 return False
-            tokens = owed.tokens
+            tokens = cancellation.tokens
         self._used -= tokens
         return True
 
     def owe(self, attempt: AttemptId, now: float, tokens: int = 0) -> None:
-        """Turn a hold into an owed cancellation, due at once.
+        """Replace the reservation by a cancellation, due at once.
 
-        An attempt the ledger never saw (an engine reported it) is owed ``tokens``.
+        ``tokens`` count as used if the ledger has no reservation of the attempt.
         """
-        if attempt in self._owed:
+        if attempt in self._cancellations:
             return
-        held = self._held.pop(attempt, None)
-        if held is None:
-            held = tokens
+        reserved = self._reserved.pop(attempt, None)
+        if reserved is None:
+            reserved = tokens
             self._used += tokens
-        self._owed[attempt] = _Owed(held, now)
+        self._cancellations[attempt] = _Cancellation(reserved, now)
 
     def take_due_cancellations(self, now: float) -> list[AttemptId]:
-        """Return owed attempts whose cancellation must be sent (again) now."""
-        due = [attempt for attempt, owed in self._owed.items() if owed.send_at <= now]
+        """Return the attempts whose cancellation is due, and schedule the next send."""
+        due = [
+            attempt
+            for attempt, cancellation in self._cancellations.items()
+            if cancellation.send_at <= now
+        ]
         for attempt in due:
-            self._owed[attempt].send_at = now + RESEND_CANCEL
+            self._cancellations[attempt].send_at = now + RESEND_CANCEL
         return due
 
     def clear(self) -> list[AttemptId]:
-        """Drop everything: the engine restarted with empty memory."""
-        lost = list(self._held)
-        self._held.clear()
-        self._owed.clear()
+        """Clear the ledger after an engine restart; return the reserved attempts."""
+        lost = list(self._reserved)
+        self._reserved.clear()
+        self._cancellations.clear()
         self._used = 0
         return lost
 
     def list_held(self) -> list[AttemptId]:
-        """Attempts that hold memory and are not owed."""
-        return list(self._held)
+        """List the attempts that have a reservation."""
+        return list(self._reserved)
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -1,8 +1,8 @@
-"""The owner of one replica decides what starts there, and when.
+"""Admission to one replica: its queue, memory reservations and cancellations.
 
-One instance owns a replica at a time. It keeps the exact memory ledger, the queue
-and the cancellations that the engine still has to confirm. Entries reserve, are
-granted or refused, renew what they hold and release it.
+One instance owns a replica at a time. Entries send reservations, which the owner grants
+or refuses; entries renew granted reservations and release them. The owner resends
+cancellations until the engine confirms them.
 """
 
 from __future__ import annotations
@@ -38,40 +38,42 @@
 )
 
 GRANT_VALID = 2.0
-"""Seconds in which a granted attempt must be renewed, started or released."""
+"""Time within which a granted attempt must be renewed, started or released."""
 
 HOLD_LEASE = 8.0
-"""Seconds a started attempt keeps its memory without a renewal by its entry."""
+"""Time a started attempt keeps its memory without a renewal by its entry."""
 
 UNKNOWN_GRACE = 5.0
-"""Seconds an engine may run an attempt that no entry claims before it is cancelled."""
+"""Time after which an attempt that an engine runs and no entry claims is cancelled."""
 
 RESERVE_MEMORY = 2 * SHORT_TOKENS
-"""Tokens of memory under which an attempt may use the reserve."""
+"""Attempts that need less memory than this may use the reserve."""
 
 SMALL_RESERVE = 1 / 16
-"""Share of a replica's memory that only small attempts may take."""
+"""Share of a replica's memory that is reserved for small attempts."""
 
 LONG_RESERVE = 1 / 4
-"""Share of a replica's memory that long prompts leave to others."""
+"""Share of a replica's memory that long prompts may not use."""
 
 PREFILL_WINDOW = 0.2
-"""Seconds of prefill work that may be granted ahead of the engine's progress."""
+"""Prefill work, in engine time, that may be granted before the engine finishes it."""
 
 OVERDUE_FACTOR = 1.5
-"""A prefill is overdue after this many times its duration on an idle engine."""
+"""Multiple of its duration on an idle engine after which a prefill is overdue."""
 
 PACE_FACTOR = 1.5
-"""Times its own prefill after which a class goes on beside an overdue larger one."""
+"""Multiple of its own prefill time for which a size class pauses after a grant that
+overlaps an overdue larger prefill."""
 
 OVER_SHARE_FACTOR = 1.2
-"""Use over the mean of the waiting customers from which one is over its share."""
+"""Multiple of the mean usage of the waiting customers above which a customer is over
+its share."""
 
 BLOCKED_PATIENCE = 5.0
-"""Seconds a large head may be passed over before others must wait for it."""
+"""Time that a head of the queue may lack memory before larger attempts wait for it."""
 
 REBUILD_TIME = 1.5
-"""Seconds a new owner listens for renewals before its first grant."""
+"""Time a new owner collects renewals before its first grant."""
 
 
 class ToEntry(msgspec.Struct, frozen=True):
@@ -92,7 +94,7 @@
 OwnerMessage = Reserve | Started | Release | Renew
 
 
-class _Hold(msgspec.Struct):
+class _Reservation(msgspec.Struct):
     work: Work
     cost: float
     lease_until: float
@@ -101,7 +103,7 @@
 
 
 class ReplicaOwner:
-    """Queue, memory and holds of one replica."""
+    """Queue, memory ledger and granted reservations of one replica."""
 
     def __init__(
         self,
@@ -119,14 +121,14 @@
         self._shares = shares
         self._incarnation = incarnation
         self._grants_from = grants_from
-        self._holds: dict[AttemptId, _Hold] = {}
+        self._reservations: dict[AttemptId, _Reservation] = {}
         self._unclaimed: dict[AttemptId, float] = {}
         self._paced_until = [0.0] * SIZE_CLASSES
         self._is_first_come = isinstance(policy, FirstCome)
         self._prefill_tokens = [0] * SIZE_CLASSES
 
     def handle(self, message: OwnerMessage, now: float) -> list[OwnerAction]:
-        """Take one message of an entry."""
+        """Handle one message of an entry."""
         match message:
             case Reserve(work):
                 return self._reserve(work, now)
@@ -140,11 +142,11 @@
     def take_announcement(
         self, announcement: Announcement, now: float
     ) -> list[OwnerAction]:
-        """Take what the replica says of itself."""
+        """Apply an announcement of the replica; older incarnations are ignored."""
         actions: list[OwnerAction] = []
         if announcement.incarnation > self._incarnation:
             self._incarnation = announcement.incarnation
-            self._forget_holds()
+            self._clear_reservations()
         elif announcement.incarnation < self._incarnation:
             return []
         if announcement.state is UpstreamState.LEAVING and not self.is_leaving:
@@ -152,17 +154,17 @@
             actions += self._refuse_all(RefusalReason.LEAVING)
         elif announcement.state is UpstreamState.SERVING:
             self.is_leaving = False
-        self._note_unclaimed(announcement.running, now)
+        self._record_unclaimed(announcement.running, now)
         return actions + self.advance(now)
 
     def confirm_cancelled(self, attempt: AttemptId, now: float) -> list[OwnerAction]:
-        """The engine confirmed that it holds nothing for the attempt."""
-        self._drop_hold(attempt)
+        """Free the attempt's memory: the engine confirmed its cancellation."""
+        self._remove_reservation(attempt)
         self.ledger.free_attempt(attempt)
         return self._start_waiting(now)
 
     def advance(self, now: float) -> list[OwnerAction]:
-        """Act on time: expired waits and leases, owed cancellations, starts."""
+        """Expire waits and leases, send due cancellations and grant waiting work."""
         actions = self._refuse_expired(now)
         self._expire_leases(now)
         self._cancel_unclaimed(now)
@@ -171,18 +173,20 @@
         return actions + self._start_waiting(now)
 
     def take_handover(self, works: list[Work], now: float) -> list[OwnerAction]:
-        """Take the holds of the old owner; grants may begin at once."""
+        """Apply the previous owner's reservations; grants may begin at once."""
         self._renew(works, now)
         self._grants_from = now
         return self._start_waiting(now)
 
     def close(self) -> list[OwnerAction]:
-        """Ownership moves elsewhere: refuse what waits, so that it is routed anew."""
+        """Refuse all waiting work, so that entries route it to the new owner."""
         return self._refuse_all(RefusalReason.NOT_OWNER)
 
     def read_digest(self) -> LoadDigest:
-        """Load for the other instances."""
-        decoding = sum(not hold.is_prefilling for hold in self._holds.values())
+        """Build the load digest for the other instances."""
+        decoding = sum(
+            not reservation.is_prefilling for reservation in self._reservations.values()
+        )
         return LoadDigest(
             upstream=self.view.upstream,
             prefill_tokens=tuple(self._prefill_tokens),
@@ -192,15 +196,15 @@
             queued_tokens=self.queue.count_tokens_by_class(),
         )
 
-    def list_holds(self) -> list[Work]:
-        """Work that holds memory, for a hand-over."""
-        return [hold.work for hold in self._holds.values()]
+    def list_reservations(self) -> list[Work]:
+        """List granted work, for the hand-over to a new owner."""
+        return [reservation.work for reservation in self._reservations.values()]
 
     def _reserve(self, work: Work, now: float) -> list[OwnerAction]:
         if work.attempt in self.queue:
             return []
-        if work.attempt in self._holds:
-            # The first grant was lost on its way.
+        if work.attempt in self._reservations:
+            # The entry did not receive the first grant.
             return [self._build_grant(work)]
         reason = self._find_refusal(work)
         if reason is not None:
@@ -214,7 +218,7 @@
 
     def _find_refusal(self, work: Work) -> RefusalReason | None:
         if self.ledger.knows(work.attempt):
-            # Its cancellation is owed: the engine would refuse to start it.
+            # Its cancellation is unconfirmed: the engine would refuse to start it.
             return RefusalReason.NOT_OWNER
         if self.is_leaving:
             return RefusalReason.LEAVING
@@ -254,55 +258,59 @@
         return actions
 
     def _find_next(self, now: float) -> Waiting | None:
-        if not len(self.queue) or len(self._holds) >= self.view.concurrency:
+        if not len(self.queue) or len(self._reservations) >= self.view.concurrency:
             return None
-        is_memory_kept = False
-        # Classes up to these would delay a head that comes before them: any work,
-        # and the work of customers that used more than their share.
-        kept_class = -1
-        kept_class_over = -1
+        is_memory_reserved = False
+        # Size classes up to these are blocked, since they would delay an earlier head:
+        # the first for all work, the second for customers over their share.
+        blocked_class = -1
+        blocked_class_over_share = -1
         heads = self.queue.list_heads(now)
-        share = self._compute_mean_use(heads, now) * OVER_SHARE_FACTOR
+        share = self._compute_mean_usage(heads, now) * OVER_SHARE_FACTOR
         for head in heads:
             if head.is_expired(now):
                 continue
-            if is_memory_kept and not _may_use_reserve(head.work):
+            if is_memory_reserved and not _may_use_reserve(head.work):
                 continue
             size_class = compute_size_class(head.work.prefill_tokens)
-            is_over = self._read_use(head, now) > share
-            kept = max(kept_class, kept_class_over) if is_over else kept_class
-            if size_class <= kept and not head.work.held_elsewhere:
+            is_over_share = self._compute_usage(head, now) > share
+            blocked = (
+                max(blocked_class, blocked_class_over_share)
+                if is_over_share
+                else blocked_class
+            )
+            if size_class <= blocked and not head.work.held_elsewhere:
                 continue
             if not self._fits_window(head.work, now):
-                kept_class_over = max(kept_class_over, size_class)
-                if self._was_overtaken_enough(head, now):
-                    kept_class = max(kept_class, size_class)
+                blocked_class_over_share = max(blocked_class_over_share, size_class)
+                if self._has_waited_too_long(head, now):
+                    blocked_class = max(blocked_class, size_class)
                 continue
             if self._fits_memory(head.work):
                 return head
             if head.blocked_since is None:
                 head.blocked_since = now
             elif now - head.blocked_since >= BLOCKED_PATIENCE:
-                is_memory_kept = True
+                is_memory_reserved = True
         return None
 
-    def _read_use(self, head: Waiting, now: float) -> float:
+    def _compute_usage(self, head: Waiting, now: float) -> float:
         return self._shares.compute_normalized(head.work.customer, now)
 
-    def _compute_mean_use(self, heads: list[Waiting], now: float) -> float:
-        uses = {head.work.customer: self._read_use(head, now) for head in heads}
-        return sum(uses.values()) / len(uses)
+    def _compute_mean_usage(self, heads: list[Waiting], now: float) -> float:
+        usages = {head.work.customer: self._compute_usage(head, now) for head in heads}
+        return sum(usages.values()) / len(usages)
 
-    def _was_overtaken_enough(self, head: Waiting, now: float) -> bool:
+    def _has_waited_too_long(self, head: Waiting, now: float) -> bool:
         own = head.work.prefill_tokens / self.view.prefill_rate
         return now - head.arrived >= PREFILL_WINDOW + own
 
     def _fits_memory(self, work: Work) -> bool:
         free = self.ledger.free
-        if not _may_use_reserve(work) and self._holds:
+        if not _may_use_reserve(work) and self._reservations:
             is_long = work.memory_tokens >= LONG_TOKENS
-            part = LONG_RESERVE if is_long else SMALL_RESERVE
-            reserve = int(self.ledger.capacity * part)
+            reserve_share = LONG_RESERVE if is_long else SMALL_RESERVE
+            reserve = int(self.ledger.capacity * reserve_share)
             free -= min(reserve, self.ledger.capacity - work.memory_tokens)
         return work.memory_tokens <= free
 
@@ -315,8 +323,8 @@
         window = PREFILL_WINDOW * self.view.prefill_rate
         if self._is_first_come:
             return sum(self._prefill_tokens) < window
-        # The engine lets a smaller prompt overtake larger ones, so only what it
-        # would run before this one counts.
+        # The engine runs smaller prompts first, so only prompts of this size class
+        # and smaller ones count.
         return sum(self._prefill_tokens[: size_class + 1]) < window
 
     def _grant(self, work: Work, now: float) -> ToEntry:
@@ -324,101 +332,109 @@
         cost = estimate_cost(work, self.view)
         self._shares.charge(work.customer, cost, now)
         self._pace(work, now)
-        self._add_hold(work, cost, now + GRANT_VALID, now)
+        self._add_reservation(work, cost, now + GRANT_VALID, now)
         return self._build_grant(work)
 
     def _pace(self, work: Work, now: float) -> None:
-        """Leave engine time to a larger prompt that was overtaken for too long."""
+        """Pause the size class of ``work`` if a larger prefill is overdue."""
         size_class = compute_size_class(work.prefill_tokens)
-        for hold in self._holds.values():
-            if hold.is_prefilling and self._is_overdue(hold, size_class, now):
+        for reservation in self._reservations.values():
+            if reservation.is_prefilling and self._is_overdue(
+                reservation, size_class, now
+            ):
                 seconds = work.prefill_tokens / self.view.prefill_rate
                 self._paced_until[size_class] = now + PACE_FACTOR * seconds
                 return
 
-    def _is_overdue(self, hold: _Hold, size_class: int, now: float) -> bool:
-        if compute_size_class(hold.work.prefill_tokens) <= size_class:
+    def _is_overdue(
+        self, reservation: _Reservation, size_class: int, now: float
+    ) -> bool:
+        if compute_size_class(reservation.work.prefill_tokens) <= size_class:
             return False
-        nominal = hold.work.prefill_tokens / self.view.prefill_rate
-        return now - hold.granted > OVERDUE_FACTOR * nominal
+        nominal = reservation.work.prefill_tokens / self.view.prefill_rate
+        return now - reservation.granted > OVERDUE_FACTOR * nominal
 
-    def _add_hold(
+    def _add_reservation(
         self, work: Work, cost: float, lease_until: float, now: float
     ) -> None:
-        self._holds[work.attempt] = _Hold(work, cost, lease_until, now)
+        self._reservations[work.attempt] = _Reservation(work, cost, lease_until, now)
         self._count_prefill(work, work.prefill_tokens)
 
-    def _drop_hold(self, attempt: AttemptId) -> _Hold | None:
-        hold = self._holds.pop(attempt, None)
-        if hold is not None and hold.is_prefilling:
-            self._count_prefill(hold.work, -hold.work.prefill_tokens)
-        return hold
+    def _remove_reservation(self, attempt: AttemptId) -> _Reservation | None:
+        reservation = self._reservations.pop(attempt, None)
+        if reservation is not None and reservation.is_prefilling:
+            self._count_prefill(reservation.work, -reservation.work.prefill_tokens)
+        return reservation
 
     def _count_prefill(self, work: Work, tokens: int) -> None:
         self._prefill_tokens[compute_size_class(work.prefill_tokens)] += tokens
 
     def _mark_started(self, attempt: AttemptId, now: float) -> list[OwnerAction]:
-        hold = self._holds.get(attempt)
-        if hold is None or not hold.is_prefilling:
+        reservation = self._reservations.get(attempt)
+        if reservation is None or not reservation.is_prefilling:
             return []
-        hold.is_prefilling = False
-        hold.lease_until = now + HOLD_LEASE
-        self._count_prefill(hold.work, -hold.work.prefill_tokens)
+        reservation.is_prefilling = False
+        reservation.lease_until = now + HOLD_LEASE
+        self._count_prefill(reservation.work, -reservation.work.prefill_tokens)
         return self._start_waiting(now)
 
     def _release(self, release: Release, now: float) -> list[OwnerAction]:
         attempt = release.attempt
         self.queue.remove(attempt)
-        hold = self._drop_hold(attempt)
-        if hold is not None:
-            self._correct_charge(hold, release, now)
+        reservation = self._remove_reservation(attempt)
+        if reservation is not None:
+            self._correct_charge(reservation, release, now)
         match release.outcome:
             case Outcome.UNUSED | Outcome.FINISHED:
                 if self.ledger.holds(attempt):
                     self.ledger.free_attempt(attempt)
             case Outcome.ABANDONED:
-                # Owed even when the ledger does not know it: the attempt may have
+                # Cancelled even if the ledger has no entry: the attempt may have
                 # reached the engine before this instance became the owner.
-                self._owe(attempt, now)
+                self._cancel(attempt, now)
         return self.advance(now)
 
-    def _correct_charge(self, hold: _Hold, release: Release, now: float) -> None:
+    def _correct_charge(
+        self, reservation: _Reservation, release: Release, now: float
+    ) -> None:
         if release.outcome is Outcome.UNUSED:
-            self._shares.charge(hold.work.customer, -hold.cost, now)
+            self._shares.charge(reservation.work.customer, -reservation.cost, now)
             return
-        unused = max(0, hold.work.output_tokens - release.output_tokens)
+        unused = max(0, reservation.work.output_tokens - release.output_tokens)
         refund = unused * compute_token_cost(self.view)
-        self._shares.charge(hold.work.customer, -refund, now)
+        self._shares.charge(reservation.work.customer, -refund, now)
 
     def _renew(self, works: list[Work], now: float) -> list[OwnerAction]:
         for work in works:
             self._unclaimed.pop(work.attempt, None)
-            hold = self._holds.get(work.attempt)
-            if hold is not None:
-                hold.lease_until = now + HOLD_LEASE
+            reservation = self._reservations.get(work.attempt)
+            if reservation is not None:
+                reservation.lease_until = now + HOLD_LEASE
             elif not self.ledger.knows(work.attempt):
-                # Granted by an earlier owner: it holds memory, whatever fits here.
+                # Granted by an earlier owner: its memory is in use, also above capacity
                 self.queue.remove(work.attempt)
                 self.ledger.hold(work.attempt, work.memory_tokens)
-                self._add_hold(work, 0.0, now + HOLD_LEASE, now)
+                self._add_reservation(work, 0.0, now + HOLD_LEASE, now)
         return []
 
     def _expire_leases(self, now: float) -> None:
         expired = [
-            attempt for attempt, hold in self._holds.items() if hold.lease_until <= now
+            attempt
+            for attempt, reservation in self._reservations.items()
+            if reservation.lease_until <= now
         ]
         for attempt in expired:
-            self._drop_hold(attempt)
-            self._owe(attempt, now)
+            self._remove_reservation(attempt)
+            self._cancel(attempt, now)
 
-    def _owe(self, attempt: AttemptId, now: float) -> None:
+    def _cancel(self, attempt: AttemptId, now: float) -> None:
         if self.view.memory_tokens:
             self.ledger.owe(attempt, now)
         else:
-            # A plain service holds no memory and has no cancellation.
+            # A service without KV cache needs no cancellation.
             self.ledger.free_attempt(attempt)
 
-    def _note_unclaimed(self, running: list[str], now: float) -> None:
+    def _record_unclaimed(self, running: list[str], now: float) -> None:
         reported = {AttemptId(name) for name in running}
         unknown = {name for name in reported if not self.ledger.knows(name)}
         self._unclaimed = {
@@ -429,11 +445,11 @@
         for attempt, since in list(self._unclaimed.items()):
             if now - since >= UNKNOWN_GRACE:
                 del self._unclaimed[attempt]
-                self._owe(attempt, now)
+                self._cancel(attempt, now)
 
-    def _forget_holds(self) -> None:
+    def _clear_reservations(self) -> None:
         self.ledger.clear()
-        self._holds.clear()
+        self._reservations.clear()
         self._unclaimed.clear()
         self._prefill_tokens = [0] * SIZE_CLASSES
 
@@ -443,12 +459,12 @@
 
 
 def compute_token_cost(view: ReplicaView) -> float:
-    """Engine-seconds of one generated token: a step is shared by a typical batch."""
+    """Compute the engine-seconds of one generated token in a batch of typical size."""
     typical_batch = max(1.0, view.concurrency / 4)
     return view.step_time / typical_batch
 
 
 def estimate_cost(work: Work, view: ReplicaView) -> float:
-    """Engine-seconds that ``work`` will use."""
+    """Estimate the engine-seconds that ``work`` will use."""
     prefill = work.prefill_tokens / view.prefill_rate
     return prefill + work.output_tokens * compute_token_cost(view)
--- a/src/scalebend/core/ownership.py
+++ b/src/scalebend/core/ownership.py
@@ -1,7 +1,7 @@
-"""The replicas that this instance owns, and how ownership changes hands.
+"""Replicas that this instance owns, and transfer of their ownership.
 
-The owner of a replica is its rendezvous hash over the committed instance list. A new
-owner first listens for renewals, unless the old one handed the replica over.
+Rendezvous hashing over the committed instance list selects the owner of a replica. A
+new owner first collects renewals, unless the previous owner hands them over.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class OwnershipChange(msgspec.Struct):
-    """What follows from a newer instance list."""
+    """Replicas with a new owner, and the messages that result."""
 
     upstreams: set[UpstreamId]
     handovers: list[ToInstance]
@@ -34,7 +34,7 @@
 
 
 class ReplicaOwners:
-    """Owners of this instance's replicas, by the newest instance list."""
+    """The owner objects of this instance's replicas, by the latest instance list."""
 
     def __init__(self, instance: InstanceId, catalog: Catalog, policy: Policy) -> None:
         self.shares = ShareLedger()
@@ -49,11 +49,11 @@
         return iter(list(self._owners.items()))
 
     def get(self, upstream: UpstreamId) -> ReplicaOwner | None:
-        """This instance's owner of the replica, if it owns it."""
+        """Return the replica's owner object if this instance owns the replica."""
         return self._owners.get(upstream)
 
     def find_owner(self, upstream: UpstreamId) -> InstanceId | None:
-        """The instance that owns the replica."""
+        """Return the instance that owns the replica."""
         return self._responsible.find(upstream)
 
     def is_mine(self, upstream: UpstreamId) -> bool:
@@ -61,13 +61,13 @@
         return self.find_owner(upstream) == self._instance
 
     def ensure(self, record: UpstreamRecord, now: float) -> ReplicaOwner | None:
-        """Return the owner of a replica that is this instance's, made if needed."""
+        """Return the owner object, created if needed; ``None`` if owned elsewhere."""
         upstream = record.announcement.upstream
         if not self.is_mine(upstream):
             return None
         owner = self._owners.get(upstream)
         if owner is None:
-            # Nothing can be held elsewhere of a replica that runs nothing.
+            # A replica that runs nothing has no reservations to collect.
             must_rebuild = bool(record.announcement.running)
             owner = self._build(record, now, must_rebuild=must_rebuild)
         elif owner.view != record.view:
@@ -76,12 +76,12 @@
         return owner
 
     def drop(self, upstream: UpstreamId) -> None:
-        """The replica is gone."""
+        """Remove a replica that is gone."""
         self._owners.pop(upstream, None)
         self._responsible.forget(upstream)
 
     def set_instances(self, listed: InstanceList, now: float) -> OwnershipChange:
-        """Follow a newer instance list."""
+        """Apply a newer instance list."""
         before = {
             record.view.upstream: self.find_owner(record.view.upstream)
             for record in self._catalog
@@ -94,7 +94,9 @@
             owner = self._owners.pop(upstream, None)
             new_owner = self.find_owner(upstream)
             if owner is not None and new_owner is not None:
-                handover = Handover(upstream, Renew(upstream, owner.list_holds()))
+                handover = Handover(
+                    upstream, Renew(upstream, owner.list_reservations())
+                )
                 change.handovers.append(ToInstance(new_owner, handover))
                 change.refusals += owner.close()
             if new_owner == self._instance:
--- a/tests/unit/test_owner.py
+++ b/tests/unit/test_owner.py
@@ -275,7 +275,7 @@
             if self.now - at >= GRANT_VALID:
                 # Late: the engine was told to refuse it, or will be.
                 continue
-            held = self.owner.ledger._held.get(attempt, 0)
+            held = self.owner.ledger._reserved.get(attempt, 0)
             refused = self.engine.refused_full
             if held and self.engine.hold(attempt, held):
                 self.running[attempt] = held
