--- a/src/scalebend/core/claims.py
+++ b/src/scalebend/core/claims.py
@@ -13,13 +13,13 @@
 
 from scalebend.models.ids import CustomerId, IdempotencyKey, RequestId
 
-CLAIM_LIFETIME = 24 * 3600.0
+CLAIM_LIFETIME_S = 24 * 3600.0
 """Time a claim is kept after its last change."""
 
-MOST_STORED_BODY = 16 * 1024
+MAX_STORED_BODY_BYTES = 16 * 1024
 """Size limit of a response body stored with its claim."""
 
-MOST_CLAIMS = 200_000
+MAX_CLAIMS = 200_000
 
 
 class ClaimState(Enum):
@@ -30,7 +30,7 @@
     WITHDRAWN = "withdrawn"
 
 
-class StoredAnswer(msgspec.Struct, frozen=True):
+class StoredResponse(msgspec.Struct, frozen=True):
     """Response to the first request; ``body`` is ``None`` if it was too large."""
 
     status: int
@@ -53,7 +53,7 @@
     customer: CustomerId
     key: IdempotencyKey
     request: RequestId
-    answer: StoredAnswer
+    response: StoredResponse = msgspec.field(name="answer")
 
 
 class Withdraw(msgspec.Struct, frozen=True, tag=True):
@@ -72,7 +72,7 @@
     """Result: another request holds the claim; with its response if it is settled."""
 
     state: ClaimState
-    answer: StoredAnswer | None
+    response: StoredResponse | None = msgspec.field(name="answer")
 
 
 class ClaimConflict(msgspec.Struct, frozen=True, tag=True):
@@ -91,7 +91,7 @@
     fingerprint: str
     request: RequestId
     state: ClaimState
-    answer: StoredAnswer | None
+    response: StoredResponse | None = msgspec.field(name="answer")
     changed: float
 
 
@@ -115,7 +115,7 @@
             case Settle():
                 if record is not None and record.request == command.request:
                     record.state = ClaimState.SETTLED
-                    record.answer = command.answer
+                    record.response = command.response
                     self._mark_changed(record_key, record, at)
             case Withdraw():
                 self._withdraw(command, record, at)
@@ -139,7 +139,7 @@
         if record is not None and record.state is not ClaimState.WITHDRAWN:
             if record.fingerprint != command.fingerprint:
                 return ClaimConflict()
-            return ClaimKnown(record.state, record.answer)
+            return ClaimKnown(record.state, record.response)
         self._put(command, command.fingerprint, ClaimState.OPEN, at)
         return ClaimTaken()
 
@@ -176,7 +176,7 @@
     def _remove_expired(self, at: float) -> None:
         while self._records:
             record_key, oldest = next(iter(self._records.items()))
-            is_expired = at - oldest.changed >= CLAIM_LIFETIME
-            if not is_expired and len(self._records) <= MOST_CLAIMS:
+            is_expired = at - oldest.changed >= CLAIM_LIFETIME_S
+            if not is_expired and len(self._records) <= MAX_CLAIMS:
                 return
             del self._records[record_key]
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -18,16 +18,16 @@
     AbortAttempt,
     Attempt,
     AttemptResult,
-    Broken,
     ClaimKey,
     Completed,
     Conclude,
     EntryAction,
     Flow,
     FlowState,
-    Garbled,
+    Interrupted,
+    InvalidResponse,
     NeverStarted,
-    Part,
+    Phase,
     Prefilled,
     ResumeAttempt,
     StartAttempt,
@@ -69,13 +69,13 @@
 
 logger = structlog.get_logger(__name__)
 
-MOST_TRIES = 4
-MOST_RESUMES = 3
-OWNER_CHANGE_DELAY = 0.15
+MAX_ATTEMPTS = 4
+MAX_RESUMES = 3
+OWNER_CHANGE_DELAY_S = 0.15
 """Delay before a request is routed again after an instance that does not own the
 replica (any more, or yet) refused it."""
 
-RESERVE_RESEND = 1.0
+RESERVE_RESEND_INTERVAL_S = 1.0
 """Time without a reply after which a reservation is sent again."""
 
 
@@ -118,7 +118,7 @@
         self._flows[request.request] = flow
         return self._route(flow, now)
 
-    def take_digest(self, digest: LoadDigest) -> None:
+    def apply_digest(self, digest: LoadDigest) -> None:
         """Apply a newer load digest of a replica."""
         self.catalog.take_digest(digest)
         self.placement.pending.forget(digest.upstream)
@@ -137,7 +137,7 @@
         attempt.granted_count += 1
         if not attempt.has_all_grants():
             return [self._reserve_next(flow, now)]
-        if flow.state is FlowState.MOVING:
+        if flow.state is FlowState.TRANSFERRING:
             return self._start_decode(flow)
         attempt.state = AttemptState.GRANTED
         if flow.request.repeatable or flow.is_claimed:
@@ -150,7 +150,7 @@
         flow = self._find_flow(refusal.attempt)
         if flow is None or flow.attempt is None or flow.attempt.has_all_grants():
             return []
-        if flow.state is FlowState.MOVING:
+        if flow.state is FlowState.TRANSFERRING:
             if refusal.reason is RefusalReason.NOT_OWNER:
                 # renew() or handle_owner_changed() sends the reservation again.
                 return []
@@ -161,7 +161,7 @@
             # Ownership is moving to another instance: the replica is not at fault, and
             # the newer instance list is about to arrive.
             flow.try_count -= 1
-            delay = OWNER_CHANGE_DELAY
+            delay = OWNER_CHANGE_DELAY_S
         else:
             flow.excluded.add(refusal.upstream)
         flow.last_error = RefusedError(
@@ -189,7 +189,7 @@
         if flow is None or flow.attempt is None:
             return []
         current = flow.attempt
-        if current.part is Part.DECODE:
+        if current.phase is Phase.DECODE:
             return self._finish_transfer(flow)
         if not current.was_sent or current.state is AttemptState.RUNNING:
             return []
@@ -216,7 +216,7 @@
                 self._record_prefix(flow)
                 self.crashes.record_response(flow.request, now)
                 return self._conclude(flow, None, result.output_tokens)
-            case NeverStarted(detail) if flow.attempt.part is Part.DECODE:
+            case NeverStarted(detail) if flow.attempt.phase is Phase.DECODE:
                 self._record_failure(lead, now)
                 return self._reserve_other_decode(flow, lead, now)
             case NeverStarted(detail, retry_after, may_hold_memory):
@@ -225,18 +225,18 @@
                 error = UpstreamError(detail, retry_after=retry_after or None)
                 outcome = Outcome.ABANDONED if may_hold_memory else Outcome.UNUSED
                 return self._fail_attempt(flow, error, now, outcome)
-            case Broken():
+            case Interrupted():
                 return self._handle_interrupted(flow, result, now)
-            case Garbled(detail):
+            case InvalidResponse(detail):
                 self._record_failure(lead, now)
                 flow.attempt.state = AttemptState.RUNNING
                 error = UpstreamError(detail, kind=ErrorKind.UPSTREAM_GARBLED)
                 return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
 
-    def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
+    def record_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
         """Record the backoff that a replica asked for when it rejected a request."""
         logger.info("backoff heard", upstream=upstream, seconds=seconds)
-        self.placement.note_backoff(upstream, seconds, now)
+        self.placement.record_backoff(upstream, seconds, now)
 
     def cancel(self, request: RequestId, now: float) -> list[EntryAction]:
         """Conclude the request of a caller that disconnected."""
@@ -258,10 +258,10 @@
             attempt = flow.attempt
             if attempt is None or upstream not in attempt.upstreams:
                 continue
-            if flow.state is FlowState.MOVING and upstream != attempt.lead:
+            if flow.state is FlowState.TRANSFERRING and upstream != attempt.lead:
                 actions += self._reserve_other_decode(flow, upstream, now)
             elif attempt.was_sent:
-                interrupted = Broken(f"{upstream} became unresponsive")
+                interrupted = Interrupted(f"{upstream} became unresponsive")
                 actions += self._handle_interrupted(flow, interrupted, now)
             elif flow.state is FlowState.RESERVING:
                 flow.last_error = UpstreamError(f"{upstream} became unresponsive")
@@ -277,7 +277,7 @@
             attempt = flow.attempt
             if attempt is None or attempt.has_all_grants():
                 continue
-            if now - attempt.reserve_sent_at >= RESERVE_RESEND:
+            if now - attempt.reserve_sent_at >= RESERVE_RESEND_INTERVAL_S:
                 actions.append(self._reserve_next(flow, now))
         return actions
 
@@ -332,8 +332,8 @@
         if placed is None:
             return self._refuse_unroutable(flow, now)
         flow.try_count += 1
-        part = Part.PREFILL if placed.is_split else Part.WHOLE
-        flow.attempt = Attempt(name, placed.works, part)
+        phase = Phase.PREFILL if placed.is_split else Phase.WHOLE
+        flow.attempt = Attempt(name, placed.works, phase)
         flow.state = FlowState.RESERVING
         self._request_ids[name] = request.request
         return [self._reserve_next(flow, now)]
@@ -370,7 +370,7 @@
                 flow.request.request,
                 attempt.upstreams,
                 priority,
-                attempt.part,
+                attempt.phase,
             )
         ]
 
@@ -388,8 +388,8 @@
             return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
         attempt.works = [source, work]
         attempt.granted_count = 1
-        attempt.part = Part.PREFILL
-        flow.state = FlowState.MOVING
+        attempt.phase = Phase.PREFILL
+        flow.state = FlowState.TRANSFERRING
         return [self._reserve_next(flow, now)]
 
     def _reserve_other_decode(
@@ -404,7 +404,7 @@
     def _start_decode(self, flow: Flow) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
-        attempt.part = Part.DECODE
+        attempt.phase = Phase.DECODE
         attempt.incarnation = self._find_incarnation(attempt.lead)
         flow.state = FlowState.RUNNING
         source, target = attempt.upstreams
@@ -414,7 +414,7 @@
                 flow.request.request,
                 (target,),
                 self._compute_engine_priority(0),
-                Part.DECODE,
+                Phase.DECODE,
                 source,
             )
         ]
@@ -446,17 +446,17 @@
         return record.announcement.incarnation if record is not None else None
 
     def _handle_interrupted(
-        self, flow: Flow, interrupted: Broken, now: float
+        self, flow: Flow, interrupted: Interrupted, now: float
     ) -> list[EntryAction]:
         attempt = flow.attempt
         assert attempt is not None
         record = self.catalog.get(attempt.lead)
         may_resume = attempt.state is AttemptState.RUNNING and record is not None
-        if may_resume and attempt.resumes < MOST_RESUMES:
+        if may_resume and attempt.resumes < MAX_RESUMES:
             attempt.resumes += 1
             return [ResumeAttempt(attempt.attempt)]
         self._record_failure(attempt.lead, now)
-        if interrupted.may_have_ended:
+        if interrupted.may_have_crashed:
             lead, incarnation = attempt.lead, attempt.incarnation
             self.crashes.record_crash(flow.request, lead, incarnation, now)
         error = UpstreamError(interrupted.detail)
@@ -479,7 +479,7 @@
         return actions + self._retry(flow, now, delay=delay)
 
     def _retry(self, flow: Flow, now: float, *, delay: float) -> list[EntryAction]:
-        if flow.try_count >= MOST_TRIES:
+        if flow.try_count >= MAX_ATTEMPTS:
             error = flow.last_error or RefusedError("no replica accepted the request")
             return self._conclude(flow, error)
         flow.state = FlowState.WAITING_TO_RETRY
@@ -551,7 +551,7 @@
     def _record_prefix(self, flow: Flow) -> None:
         request = flow.request
         attempt = flow.attempt
-        if attempt is not None and attempt.part is Part.WHOLE:
+        if attempt is not None and attempt.phase is Phase.WHOLE:
             self.placement.prefixes.learn(attempt.lead, request.prefixes)
 
     def _record_failure(self, upstream: UpstreamId, now: float) -> None:
--- a/src/scalebend/core/flow.py
+++ b/src/scalebend/core/flow.py
@@ -43,23 +43,23 @@
     may_hold_memory: bool = False
 
 
-class Broken(msgspec.Struct, frozen=True):
+class Interrupted(msgspec.Struct, frozen=True):
     """Result: the request was sent, but the response is missing or incomplete.
 
-    ``may_have_ended`` is false if the upstream itself reported the failure.
+    ``may_have_crashed`` is false if the upstream itself reported the failure.
     """
 
     detail: str
-    may_have_ended: bool = True
+    may_have_crashed: bool = True
 
 
-class Garbled(msgspec.Struct, frozen=True):
+class InvalidResponse(msgspec.Struct, frozen=True):
     """Result: the response of the upstream is malformed."""
 
     detail: str
 
 
-AttemptResult = Completed | Prefilled | NeverStarted | Broken | Garbled
+AttemptResult = Completed | Prefilled | NeverStarted | Interrupted | InvalidResponse
 
 
 class ToOwner(msgspec.Struct, frozen=True):
@@ -69,7 +69,7 @@
     message: Reserve | Started | Release | Renew
 
 
-class Part(Enum):
+class Phase(Enum):
     """Phases of an attempt that one engine runs.
 
     ``PREFILL`` ends with the first token and keeps the KV cache for export;
@@ -91,7 +91,7 @@
     request: RequestId
     upstreams: tuple[UpstreamId, ...]
     priority: int
-    part: Part = Part.WHOLE
+    phase: Phase = Phase.WHOLE
     source: UpstreamId | None = None
 
 
@@ -134,7 +134,7 @@
     RESERVING = "reserving"
     CLAIMING = "claiming"
     RUNNING = "running"
-    MOVING = "moving"
+    TRANSFERRING = "moving"
     WAITING_TO_RETRY = "waiting-to-retry"
 
 
@@ -148,7 +148,7 @@
 
     attempt: AttemptId
     works: list[Work]
-    part: Part = Part.WHOLE
+    phase: Phase = Phase.WHOLE
     granted_count: int = 0
     state: AttemptState = AttemptState.QUEUED
     resumes: int = 0
@@ -175,7 +175,7 @@
     @property
     def lead(self) -> UpstreamId:
         """The replica whose stream is being read."""
-        return self.works[-1 if self.part is Part.DECODE else 0].upstream
+        return self.works[-1 if self.phase is Phase.DECODE else 0].upstream
 
 
 class Flow(msgspec.Struct):
--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -346,7 +346,7 @@
             case Handover(upstream, renew):
                 owner = self.owners.get(upstream)
                 if owner is not None:
-                    return list(owner.take_handover(renew.work, now))
+                    return list(owner.apply_handover(renew.work, now))
             case FetchCatalog(known):
                 if known == self.catalog.summarise():
                     return []
--- a/src/scalebend/core/ledger.py
+++ b/src/scalebend/core/ledger.py
@@ -11,7 +11,7 @@
 
 from scalebend.models.ids import AttemptId
 
-RESEND_CANCEL = 0.5
+CANCEL_RESEND_INTERVAL_S = 0.5
 """Time between two sends of the same unconfirmed cancellation."""
 
 
@@ -39,17 +39,17 @@
         """Tokens that may still be granted; renewals can make it negative."""
         return self.capacity - self._used
 
-    def holds(self, attempt: AttemptId) -> bool:
+    def has_reservation(self, attempt: AttemptId) -> bool:
         """Whether the attempt has a reservation and is not being cancelled."""
         return attempt in self._reserved
 
-    def knows(self, attempt: AttemptId) -> bool:
+    def is_tracked(self, attempt: AttemptId) -> bool:
         """Whether the attempt has a reservation or an unconfirmed cancellation."""
         return attempt in self._reserved or attempt in self._cancellations
 
-    def hold(self, attempt: AttemptId, tokens: int) -> None:
+    def reserve(self, attempt: AttemptId, tokens: int) -> None:
         """Reserve ``tokens`` for the attempt; a second call changes nothing."""
-        if self.knows(attempt):
+        if self.is_tracked(attempt):
             return
         self._reserved[attempt] = tokens
         self._used += tokens
@@ -65,7 +65,7 @@
         self._used -= tokens
         return True
 
-    def owe(self, attempt: AttemptId, now: float, tokens: int = 0) -> None:
+    def cancel(self, attempt: AttemptId, now: float, tokens: int = 0) -> None:
         """Replace the reservation by a cancellation, due at once.
 
         ``tokens`` count as used if the ledger has no reservation of the attempt.
@@ -86,7 +86,7 @@
             if cancellation.send_at <= now
         ]
         for attempt in due:
-            self._cancellations[attempt].send_at = now + RESEND_CANCEL
+            self._cancellations[attempt].send_at = now + CANCEL_RESEND_INTERVAL_S
         return due
 
     def clear(self) -> list[AttemptId]:
@@ -97,6 +97,6 @@
         self._used = 0
         return lost
 
-    def list_held(self) -> list[AttemptId]:
+    def list_reserved(self) -> list[AttemptId]:
         """List the attempts that have a reservation."""
         return list(self._reserved)
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -37,25 +37,25 @@
     Work,
 )
 
-GRANT_VALID = 2.0
+GRANT_LIFETIME_S = 2.0
 """Time within which a granted attempt must be renewed, started or released."""
 
-HOLD_LEASE = 8.0
+RESERVATION_LEASE_S = 8.0
 """Time a started attempt keeps its memory without a renewal by its entry."""
 
-UNKNOWN_GRACE = 5.0
+UNCLAIMED_GRACE_S = 5.0
 """Time after which an attempt that an engine runs and no entry claims is cancelled."""
 
-RESERVE_MEMORY = 2 * SHORT_TOKENS
+SMALL_WORK_TOKENS = 2 * SHORT_TOKENS
 """Attempts that need less memory than this may use the reserve."""
 
-SMALL_RESERVE = 1 / 16
+SMALL_WORK_RESERVE_SHARE = 1 / 16
 """Share of a replica's memory that is reserved for small attempts."""
 
-LONG_RESERVE = 1 / 4
+LONG_PROMPT_RESERVE_SHARE = 1 / 4
 """Share of a replica's memory that long prompts may not use."""
 
-PREFILL_WINDOW = 0.2
+PREFILL_WINDOW_S = 0.2
 """Prefill work, in engine time, that may be granted before the engine finishes it."""
 
 OVERDUE_FACTOR = 1.5
@@ -69,10 +69,10 @@
 """Multiple of the mean usage of the waiting customers above which a customer is over
 its share."""
 
-BLOCKED_PATIENCE = 5.0
+MAX_HEAD_BLOCKED_S = 5.0
 """Time that a head of the queue may lack memory before larger attempts wait for it."""
 
-REBUILD_TIME = 1.5
+REBUILD_TIME_S = 1.5
 """Time a new owner collects renewals before its first grant."""
 
 
@@ -115,7 +115,7 @@
         grants_from: float = 0.0,
     ) -> None:
         self.view = view
-        self.is_leaving = False
+        self.is_draining = False
         self.ledger = MemoryLedger(view.memory_tokens)
         self.queue = WorkQueue(policy, shares)
         self._shares = shares
@@ -139,7 +139,7 @@
             case Renew(_, works):
                 return self._renew(works, now)
 
-    def take_announcement(
+    def apply_announcement(
         self, announcement: Announcement, now: float
     ) -> list[OwnerAction]:
         """Apply an announcement of the replica; older incarnations are ignored."""
@@ -149,11 +149,11 @@
             self._clear_reservations()
         elif announcement.incarnation < self._incarnation:
             return []
-        if announcement.state is UpstreamState.LEAVING and not self.is_leaving:
-            self.is_leaving = True
+        if announcement.state is UpstreamState.LEAVING and not self.is_draining:
+            self.is_draining = True
             actions += self._refuse_all(RefusalReason.LEAVING)
         elif announcement.state is UpstreamState.SERVING:
-            self.is_leaving = False
+            self.is_draining = False
         self._record_unclaimed(announcement.running, now)
         return actions + self.advance(now)
 
@@ -172,7 +172,7 @@
             actions.append(CancelOnEngine(self.view.upstream, attempt))
         return actions + self._start_waiting(now)
 
-    def take_handover(self, works: list[Work], now: float) -> list[OwnerAction]:
+    def apply_handover(self, works: list[Work], now: float) -> list[OwnerAction]:
         """Apply the previous owner's reservations; grants may begin at once."""
         self._renew(works, now)
         self._grants_from = now
@@ -182,7 +182,7 @@
         """Refuse all waiting work, so that entries route it to the new owner."""
         return self._refuse_all(RefusalReason.NOT_OWNER)
 
-    def read_digest(self) -> LoadDigest:
+    def build_digest(self) -> LoadDigest:
         """Build the load digest for the other instances."""
         decoding = sum(
             not reservation.is_prefilling for reservation in self._reservations.values()
@@ -213,14 +213,14 @@
         return self._start_waiting(now)
 
     def _build_grant(self, work: Work) -> ToEntry:
-        grant = Grant(work.attempt, self.view.upstream, GRANT_VALID)
+        grant = Grant(work.attempt, self.view.upstream, GRANT_LIFETIME_S)
         return ToEntry(work.entry, grant)
 
     def _find_refusal(self, work: Work) -> RefusalReason | None:
-        if self.ledger.knows(work.attempt):
+        if self.ledger.is_tracked(work.attempt):
             # Its cancellation is unconfirmed: the engine would refuse to start it.
             return RefusalReason.NOT_OWNER
-        if self.is_leaving:
+        if self.is_draining:
             return RefusalReason.LEAVING
         if work.memory_tokens > self.ledger.capacity:
             return RefusalReason.TOO_LARGE
@@ -249,7 +249,7 @@
         return self._refuse(waiting.work, reason)
 
     def _start_waiting(self, now: float) -> list[OwnerAction]:
-        if self.is_leaving or now < self._grants_from:
+        if self.is_draining or now < self._grants_from:
             return []
         actions: list[OwnerAction] = []
         while (waiting := self._find_next(now)) is not None:
@@ -290,7 +290,7 @@
                 return head
             if head.blocked_since is None:
                 head.blocked_since = now
-            elif now - head.blocked_since >= BLOCKED_PATIENCE:
+            elif now - head.blocked_since >= MAX_HEAD_BLOCKED_S:
                 is_memory_reserved = True
         return None
 
@@ -303,13 +303,15 @@
 
     def _has_waited_too_long(self, head: Waiting, now: float) -> bool:
         own = head.work.prefill_tokens / self.view.prefill_rate
-        return now - head.arrived >= PREFILL_WINDOW + own
+        return now - head.arrived >= PREFILL_WINDOW_S + own
 
     def _fits_memory(self, work: Work) -> bool:
         free = self.ledger.free
         if not _may_use_reserve(work) and self._reservations:
             is_long = work.memory_tokens >= LONG_TOKENS
-            reserve_share = LONG_RESERVE if is_long else SMALL_RESERVE
+            reserve_share = (
+                LONG_PROMPT_RESERVE_SHARE if is_long else SMALL_WORK_RESERVE_SHARE
+            )
             reserve = int(self.ledger.capacity * reserve_share)
             free -= min(reserve, self.ledger.capacity - work.memory_tokens)
         return work.memory_tokens <= free
@@ -320,7 +322,7 @@
         size_class = compute_size_class(work.prefill_tokens)
         if now < max(self._paced_until[: size_class + 1]):
             return False
-        window = PREFILL_WINDOW * self.view.prefill_rate
+        window = PREFILL_WINDOW_S * self.view.prefill_rate
         if self._is_first_come:
             return sum(self._prefill_tokens) < window
         # The engine runs smaller prompts first, so only prompts of this size class
@@ -328,11 +330,11 @@
         return sum(self._prefill_tokens[: size_class + 1]) < window
 
     def _grant(self, work: Work, now: float) -> ToEntry:
-        self.ledger.hold(work.attempt, work.memory_tokens)
+        self.ledger.reserve(work.attempt, work.memory_tokens)
         cost = estimate_cost(work, self.view)
         self._shares.charge(work.customer, cost, now)
         self._pace(work, now)
-        self._add_reservation(work, cost, now + GRANT_VALID, now)
+        self._add_reservation(work, cost, now + GRANT_LIFETIME_S, now)
         return self._build_grant(work)
 
     def _pace(self, work: Work, now: float) -> None:
@@ -374,7 +376,7 @@
         if reservation is None or not reservation.is_prefilling:
             return []
         reservation.is_prefilling = False
-        reservation.lease_until = now + HOLD_LEASE
+        reservation.lease_until = now + RESERVATION_LEASE_S
         self._count_prefill(reservation.work, -reservation.work.prefill_tokens)
         return self._start_waiting(now)
 
@@ -386,7 +388,7 @@
             self._correct_charge(reservation, release, now)
         match release.outcome:
             case Outcome.UNUSED | Outcome.FINISHED:
-                if self.ledger.holds(attempt):
+                if self.ledger.has_reservation(attempt):
                     self.ledger.free_attempt(attempt)
             case Outcome.ABANDONED:
                 # Cancelled even if the ledger has no entry: the attempt may have
@@ -409,12 +411,12 @@
             self._unclaimed.pop(work.attempt, None)
             reservation = self._reservations.get(work.attempt)
             if reservation is not None:
-                reservation.lease_until = now + HOLD_LEASE
-            elif not self.ledger.knows(work.attempt):
+                reservation.lease_until = now + RESERVATION_LEASE_S
+            elif not self.ledger.is_tracked(work.attempt):
                 # Granted by an earlier owner: its memory is in use, also above capacity
                 self.queue.remove(work.attempt)
-                self.ledger.hold(work.attempt, work.memory_tokens)
-                self._add_reservation(work, 0.0, now + HOLD_LEASE, now)
+                self.ledger.reserve(work.attempt, work.memory_tokens)
+                self._add_reservation(work, 0.0, now + RESERVATION_LEASE_S, now)
         return []
 
     def _expire_leases(self, now: float) -> None:
@@ -429,21 +431,21 @@
 
     def _cancel(self, attempt: AttemptId, now: float) -> None:
         if self.view.memory_tokens:
-            self.ledger.owe(attempt, now)
+            self.ledger.cancel(attempt, now)
         else:
             # A service without KV cache needs no cancellation.
             self.ledger.free_attempt(attempt)
 
     def _record_unclaimed(self, running: list[str], now: float) -> None:
         reported = {AttemptId(name) for name in running}
-        unknown = {name for name in reported if not self.ledger.knows(name)}
+        unknown = {name for name in reported if not self.ledger.is_tracked(name)}
         self._unclaimed = {
             name: self._unclaimed.get(name, now) for name in sorted(unknown)
         }
 
     def _cancel_unclaimed(self, now: float) -> None:
         for attempt, since in list(self._unclaimed.items()):
-            if now - since >= UNKNOWN_GRACE:
+            if now - since >= UNCLAIMED_GRACE_S:
                 del self._unclaimed[attempt]
                 self._cancel(attempt, now)
 
@@ -455,7 +457,7 @@
 
 
 def _may_use_reserve(work: Work) -> bool:
-    return work.memory_tokens < RESERVE_MEMORY
+    return work.memory_tokens < SMALL_WORK_TOKENS
 
 
 def compute_token_cost(view: ReplicaView) -> float:
--- a/src/scalebend/core/ownership.py
+++ b/src/scalebend/core/ownership.py
@@ -15,7 +15,7 @@
 from scalebend.core.control_member import ToInstance
 from scalebend.core.control_state import InstanceList
 from scalebend.core.messages import Handover
-from scalebend.core.owner import REBUILD_TIME, OwnerAction, ReplicaOwner
+from scalebend.core.owner import REBUILD_TIME_S, OwnerAction, ReplicaOwner
 from scalebend.core.queueing import Policy
 from scalebend.core.rendezvous import ResponsibleTable
 from scalebend.core.shares import ShareLedger
@@ -60,7 +60,7 @@
         """Whether this instance owns the replica."""
         return self.find_owner(upstream) == self._instance
 
-    def ensure(self, record: UpstreamRecord, now: float) -> ReplicaOwner | None:
+    def get_or_create(self, record: UpstreamRecord, now: float) -> ReplicaOwner | None:
         """Return the owner object, created if needed; ``None`` if owned elsewhere."""
         upstream = record.announcement.upstream
         if not self.is_mine(upstream):
@@ -115,7 +115,7 @@
             self._policy,
             self.shares,
             incarnation=announcement.incarnation,
-            grants_from=now + REBUILD_TIME if must_rebuild else now,
+            grants_from=now + REBUILD_TIME_S if must_rebuild else now,
         )
         self._owners[announcement.upstream] = owner
         logger.info(
--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -69,7 +69,7 @@
         self.outliers = OutlierDetector()
         self.pending = PendingLoad()
         self.backoffs = UpstreamBackoffs()
-        """By incarnation, see :meth:`note_backoff`."""
+        """By incarnation, see :meth:`record_backoff`."""
 
         self._instance = instance
         self._zone = zone
@@ -149,7 +149,7 @@
         self._lanes[model] = (candidates, share, lanes)
         return lanes
 
-    def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
+    def record_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
         """A replica turned a request of this instance away, and asked for a pause."""
         self.backoffs.record(self._name_incarnation(upstream), seconds, now)
 
--- a/src/scalebend/core/streams.py
+++ b/src/scalebend/core/streams.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-MOST_BUFFERED = 1024
+MAX_BUFFERED_CHUNKS = 1024
 """Limit of chunks that are buffered while an earlier one is missing."""
 
 
@@ -35,7 +35,7 @@
         if self._end is not None and chunk.offset >= self._end:
             return []
         if chunk.offset != self.next_offset:
-            if len(self._buffered) < MOST_BUFFERED:
+            if len(self._buffered) < MAX_BUFFERED_CHUNKS:
                 self._buffered[chunk.offset] = chunk.data
             return []
         ready = [chunk.data]
@@ -48,15 +48,15 @@
     def skip(self, count: int) -> None:
         """Advance past ``count`` chunks that the calling code already delivered."""
         self.next_offset += count
-        for key in [key for key in self._buffered if key < self.next_offset]:
-            del self._buffered[key]
+        for skipped in [key for key in self._buffered if key < self.next_offset]:
+            del self._buffered[skipped]
 
-    def note_end(self, offset: int) -> None:
+    def record_end(self, offset: int) -> None:
         """Record that the response has ``offset`` chunks.
 
         An end before data that was already delivered is ignored.
         """
         if self._end is None and offset >= self.next_offset:
             self._end = offset
-            for key in [key for key in self._buffered if key >= offset]:
-                del self._buffered[key]
+            for excess in [key for key in self._buffered if key >= offset]:
+                del self._buffered[excess]
--- a/src/scalebend/core/upstream_news.py
+++ b/src/scalebend/core/upstream_news.py
@@ -67,10 +67,10 @@
         self._spread_record(announcement, is_gone=False)
         record = self._catalog.get(announcement.upstream)
         assert record is not None
-        owner = self._owners.ensure(record, now)
+        owner = self._owners.get_or_create(record, now)
         if owner is None:
             return []
-        return list(owner.take_announcement(announcement, now))
+        return list(owner.apply_announcement(announcement, now))
 
     def advance(self, now: float) -> list[NewsAction]:
         """Run the owners' timers; drop upstreams that fell silent."""
@@ -115,12 +115,12 @@
             del self._sent_records[upstream]
 
     def _spread_digest(self, owner: ReplicaOwner) -> None:
-        digest = owner.read_digest()
+        digest = owner.build_digest()
         if self._sent_digests.get(digest.upstream) == digest:
             return
         self._sent_digests[digest.upstream] = digest
         self._digest_count += 1
-        self._entry.take_digest(digest)
+        self._entry.apply_digest(digest)
         sequence = (self._owners.epoch << 32) + self._digest_count
         rumor = DigestRumor(digest, sequence)
         subject = f"d/{digest.upstream}"
@@ -187,7 +187,7 @@
         if self._digest_sequences.get(upstream, -1) >= rumor.sequence:
             return
         self._digest_sequences[upstream] = rumor.sequence
-        self._entry.take_digest(rumor.digest)
+        self._entry.apply_digest(rumor.digest)
         self._membership.rumors.put(f"d/{upstream}", rumor, DIGEST_REPEATS)
 
     def _pass_on(self, announcement: Announcement, *, is_gone: bool) -> None:
@@ -225,5 +225,5 @@
         self._entry.crashes.ledger.merge(page.crashes, now)
         for digest in page.digests:
             if not self._owners.is_mine(digest.upstream):
-                self._entry.take_digest(digest)
+                self._entry.apply_digest(digest)
         return actions
--- a/src/scalebend/edges/exchange.py
+++ b/src/scalebend/edges/exchange.py
@@ -12,14 +12,14 @@
 from aiohttp import web
 
 from scalebend.core.catalog import UpstreamRecord
-from scalebend.core.claims import StoredAnswer
+from scalebend.core.claims import StoredResponse
 from scalebend.core.flow import (
     AttemptResult,
-    Broken,
     Completed,
-    Garbled,
+    Interrupted,
+    InvalidResponse,
     NeverStarted,
-    Part,
+    Phase,
     Prefilled,
     StartAttempt,
 )
@@ -105,7 +105,7 @@
     def start(self, start: StartAttempt) -> None:
         """Send the request to the granted replicas."""
         self._start = start
-        if start.part is not Part.DECODE:
+        if start.phase is not Phase.DECODE:
             self._framer = EventFramer()
             self._collected = []
         self._task = asyncio.create_task(self._run(is_resumed=False))
@@ -137,14 +137,16 @@
             await asyncio.wait_for(self.response.write(data), CLOSE_TIMEOUT)
             await asyncio.wait_for(self.response.write_eof(), CLOSE_TIMEOUT)
 
-    def read_stored_answer(self) -> StoredAnswer | None:
+    def read_stored_answer(self) -> StoredResponse | None:
         """The whole answer as far as it was collected, to be kept with a claim."""
         if isinstance(self.response, web.Response):
             body = self.response.body
             data = body if isinstance(body, bytes) else None
-            return StoredAnswer(self.response.status, self.response.content_type, data)
+            return StoredResponse(
+                self.response.status, self.response.content_type, data
+            )
         if self.response is not None:
-            return StoredAnswer(200, EVENT_STREAM, None)
+            return StoredResponse(200, EVENT_STREAM, None)
         return None
 
     # Upstream's side
@@ -165,7 +167,7 @@
                 # Without a result the request would hang until its time limit.
                 logger.exception("attempt failed", attempt=start.attempt)
                 detail = f"internal: {type(error).__name__}"
-                result = Broken(detail, may_have_ended=False)
+                result = Interrupted(detail, may_have_crashed=False)
         self._task = None
         self._reporter.ended(start.attempt, result)
 
@@ -185,12 +187,12 @@
             # Not a byte of the request left: it cannot have run.
             detail = f"cannot connect: {error}"
             if is_resumed:
-                return Broken(detail)
+                return Interrupted(detail)
             return NeverStarted(detail, may_hold_memory=has_helpers)
         except GarbledStreamError as error:
-            return Garbled(str(error))
+            return InvalidResponse(str(error))
         except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
-            return Broken(f"link lost: {type(error).__name__}")
+            return Interrupted(f"link lost: {type(error).__name__}")
 
     def _open(
         self, start: StartAttempt, lead: UpstreamRecord, *, is_resumed: bool
@@ -205,7 +207,7 @@
             "X-Request-Id": start.attempt,
             "X-Priority": str(start.priority),
             "X-Group-Size": str(len(start.upstreams)),
-            "X-Part": start.part.value,
+            "X-Part": start.phase.value,
         }
         if start.source is not None:
             headers["X-Import-From"] = self._build_export_url(start)
@@ -247,12 +249,12 @@
         if answer.status >= 500 or (is_resumed and answer.status >= 400):
             # One that no longer knows an attempt has started again since.
             detail = f"the upstream answered {answer.status}"
-            return Broken(detail, may_have_ended=is_resumed)
+            return Interrupted(detail, may_have_crashed=is_resumed)
         if answer.status >= 400:
             await self._pass_whole(answer)
             return Completed()
         if answer.content_type != EVENT_STREAM:
-            return Garbled(f"the upstream answered {answer.content_type}")
+            return InvalidResponse(f"the upstream answered {answer.content_type}")
         return await self._read_events(start, answer)
 
     async def _read_refusal(self, answer: aiohttp.ClientResponse) -> AttemptResult:
@@ -262,7 +264,7 @@
                 retry_after = _read_retry_after(answer) or 0.0
                 return NeverStarted("the upstream refused", retry_after)
         detail = f"the upstream answered {answer.status}"
-        return Broken(detail, may_have_ended=False)
+        return Interrupted(detail, may_have_crashed=False)
 
     async def _read_service(
         self, start: StartAttempt, answer: aiohttp.ClientResponse
@@ -300,10 +302,10 @@
                 await self._write(passed)
             else:
                 self._collected.append(passed)
-        if start.part is Part.PREFILL and framer.next_offset == 1:
+        if start.phase is Phase.PREFILL and framer.next_offset == 1:
             return Prefilled()
         if not framer.is_whole:
-            return Broken("the stream ended before its end mark")
+            return Interrupted("the stream ended before its end mark")
         usage = read_usage(framer.tail)
         self.output_tokens = usage.completion_tokens
         self.prompt_tokens = usage.prompt_tokens
--- a/src/scalebend/edges/runtime.py
+++ b/src/scalebend/edges/runtime.py
@@ -23,7 +23,7 @@
     ClaimKnown,
     ClaimTaken,
     Settle,
-    StoredAnswer,
+    StoredResponse,
     Withdraw,
 )
 from scalebend.core.consensus.messages import Ready, Recovered
@@ -71,7 +71,7 @@
 class ClaimedAnswerError(ClaimError):
     """The key's first request was answered; its stored answer is given again."""
 
-    def __init__(self, answer: StoredAnswer) -> None:
+    def __init__(self, answer: StoredResponse) -> None:
         super().__init__("this request was run before", ran=Ran.YES)
         self.stored = answer
 
@@ -162,7 +162,7 @@
         self.execute(self.instance.handle_result(attempt, result, self.now()))
 
     def _report_pause(self, upstream: UpstreamId, seconds: float) -> None:
-        self.instance.entry.note_backoff(upstream, seconds, self.now())
+        self.instance.entry.record_backoff(upstream, seconds, self.now())
 
     # Inputs
 
--- a/src/scalebend/edges/sse.py
+++ b/src/scalebend/edges/sse.py
@@ -87,7 +87,7 @@
             self.tail = (self.tail + passed)[-4096:] if len(passed) < 4096 else passed
         if _DONE in whole[-64:]:
             assert last is not None
-            self._assembler.note_end(int(last[1]) + 1)
+            self._assembler.record_end(int(last[1]) + 1)
         return passed
 
     def _deliver_each(self, whole: bytes) -> bytes:
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from scalebend.core.claims import Claim, ClaimTaken, Settle, StoredAnswer
+from scalebend.core.claims import Claim, ClaimTaken, Settle, StoredResponse
 from scalebend.core.consensus.messages import DiskId, HardState, Recovered
 from scalebend.core.control_client import ProposalOutcome
 from scalebend.core.control_member import ToInstance
@@ -21,12 +21,12 @@
 from scalebend.core.flow import (
     AbortAttempt,
     AttemptResult,
-    Broken,
     ClaimKey,
     Completed,
     Conclude,
+    Interrupted,
     NeverStarted,
-    Part,
+    Phase,
     Prefilled,
     ResumeAttempt,
     StartAttempt,
@@ -455,7 +455,7 @@
         known = self._requests[request]
         if known.idempotency_key is None or error is not None:
             return
-        answer = StoredAnswer(200, "application/json", b"{}")
+        answer = StoredResponse(200, "application/json", b"{}")
         command = Settle(known.customer, known.idempotency_key, request, answer)
         _, actions = self._instances[name].propose(command, 10.0, self.now, self.now)
         self._execute(name, actions)
@@ -474,13 +474,13 @@
             name,
             lead,
             self._outcomes[start.request],
-            start.part is Part.PREFILL,
+            start.phase is Phase.PREFILL,
         )
         self._runs[start.attempt] = run
         work: Callable[..., None] = self._run_engine
         if lead in self._services:
             work = self._run_service
-        elif start.part is Part.DECODE:
+        elif start.phase is Phase.DECODE:
             work = self._begin_import
         self.call_at(self.now + delay, self._bind(work, run, start))
 
@@ -511,7 +511,7 @@
                 now=self.now,
                 prefixes=prefixes,
                 speed=parts,
-                is_prefill_only=start.part is Part.PREFILL,
+                is_prefill_only=start.phase is Phase.PREFILL,
             )
         if sequence is None:
             refused = NeverStarted("refused", may_hold_memory=parts > 1)
@@ -596,7 +596,7 @@
             instance = self._instances.get(run.instance)
             if instance is None or run.attempt not in self._runs:
                 return
-            if not isinstance(result, Broken | Prefilled):
+            if not isinstance(result, Interrupted | Prefilled):
                 del self._runs[run.attempt]
             actions = instance.handle_result(run.attempt, result, self.now)
             self._execute(run.instance, actions)
@@ -610,7 +610,7 @@
         engine = self._engines[run.engine]
         if engine.is_up and attempt in engine.model.list_running():
             return
-        self._report(run, Broken("nothing to resume"), 0.002)
+        self._report(run, Interrupted("nothing to resume"), 0.002)
 
     def _cancel(
         self, name: InstanceId, upstream: UpstreamId, attempt: AttemptId
@@ -718,7 +718,7 @@
     def _lose_engine(self, engine: _Engine, back_after: float | None) -> None:
         engine.is_up = False
         for run in [r for r in self._runs.values() if r.engine == engine.name]:
-            self._report(run, Broken("engine lost"), 0.002)
+            self._report(run, Interrupted("engine lost"), 0.002)
         if back_after is not None:
             work = self._bind(self._restart_engine, engine)
             self.call_at(self.now + back_after, work)
@@ -744,7 +744,7 @@
     def _lose_links(self, rate: float) -> None:
         for run in list(self._runs.values()):
             if run.engine in self._engines and self._chooser.random() < rate:
-                self._report(run, Broken("link lost"), 0.0)
+                self._report(run, Interrupted("link lost"), 0.0)
 
 
 def _build_gossip_address(name: InstanceId) -> str:
--- a/tests/unit/test_decision_cost.py
+++ b/tests/unit/test_decision_cost.py
@@ -129,7 +129,7 @@
     names = itertools.count(2_000)
 
     def decide():
-        (held,) = owner.ledger.list_held()
+        (held,) = owner.ledger.list_reserved()
         owner.handle(Started(held, UPSTREAM), 0.0)
         owner.handle(Release(held, UPSTREAM, Outcome.FINISHED, 100), 0.0)
         work = build_work(f"w{next(names)}", customer="c1", patience=1e9)
--- a/tests/unit/test_entry.py
+++ b/tests/unit/test_entry.py
@@ -4,16 +4,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from scalebend.core.catalog import Catalog
-from scalebend.core.entry import MOST_TRIES, Entry, EntryOptions
+from scalebend.core.entry import MAX_ATTEMPTS, Entry, EntryOptions
 from scalebend.core.flow import (
     AbortAttempt,
-    Broken,
     ClaimKey,
     Completed,
     Conclude,
-    Garbled,
+    Interrupted,
+    InvalidResponse,
     NeverStarted,
-    Part,
+    Phase,
     Prefilled,
     ResumeAttempt,
     StartAttempt,
@@ -94,7 +94,7 @@
     entry = build_entry()
     work, _ = start(entry, build_request("r", repeatable=False))
     entry.handle_claim("r", None, 0.0)
-    actions = entry.handle_result(work.attempt, Broken("lost"), 0.0)
+    actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.0)
     assert find(actions, Conclude).error.ran is Ran.UNKNOWN
     assert list_reserved(actions) == []
 
@@ -111,12 +111,12 @@
 def test_repeatable_request_is_retried_until_tries_are_used_up():
     entry = build_entry(engines=8)
     work, actions = start(entry, build_request("r"))
-    for tries in range(MOST_TRIES - 1):
-        actions = entry.handle_result(work.attempt, Broken("lost"), float(tries))
+    for tries in range(MAX_ATTEMPTS - 1):
+        actions = entry.handle_result(work.attempt, Interrupted("lost"), float(tries))
         assert find(actions, Conclude) is None
         actions += entry.advance(tries + 0.9)
         work, _ = grant_next(entry, actions, tries + 0.9)
-    actions = entry.handle_result(work.attempt, Broken("lost"), 9.0)
+    actions = entry.handle_result(work.attempt, Interrupted("lost"), 9.0)
     assert find(actions, Conclude).error.kind is ErrorKind.UPSTREAM_FAILED
 
 
@@ -125,7 +125,7 @@
     concluded = 0
     for number in range(100):
         work, _ = start(entry, build_request(f"r{number}"))
-        actions = entry.handle_result(work.attempt, Broken("lost"), 0.0)
+        actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.0)
         concluded += find(actions, Conclude) is not None
     assert concluded >= 100 - 10 - 20
 
@@ -135,9 +135,9 @@
     work, _ = start(entry, build_request("r"))
     entry.handle_started(work.attempt, 0.1)
     for _ in range(3):
-        actions = entry.handle_result(work.attempt, Broken("lost"), 0.2)
+        actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.2)
         assert find(actions, ResumeAttempt).attempt == work.attempt
-    actions = entry.handle_result(work.attempt, Broken("lost"), 0.3)
+    actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.3)
     assert find(actions, Conclude).error.ran is Ran.YES
     assert list_released(actions) == {work.upstream: Outcome.ABANDONED}
 
@@ -193,7 +193,7 @@
 
 def move(entry, engines=5):
     work, actions = start(entry, build_request("r"))
-    assert find(actions, StartAttempt).part is Part.PREFILL
+    assert find(actions, StartAttempt).phase is Phase.PREFILL
     entry.handle_started(work.attempt, 0.1)
     (target,) = list_reserved(entry.handle_result(work.attempt, Prefilled(), 0.1))
     return work, target
@@ -204,7 +204,7 @@
     work, target = move(entry)
     actions = entry.handle_grant(Grant(target.attempt, target.upstream, 2.0), 0.2)
     started = find(actions, StartAttempt)
-    assert (started.part, started.source) == (Part.DECODE, work.upstream)
+    assert (started.phase, started.source) == (Phase.DECODE, work.upstream)
     actions = entry.handle_started(work.attempt, 0.3)
     assert list_released(actions) == {work.upstream: Outcome.ABANDONED}
     assert any(isinstance(a.message, Started) for a in actions)
@@ -251,7 +251,7 @@
     entry = build_entry(engines=1)
     now = 0.0
     (work,) = list_reserved(entry.admit(build_request("r"), now))
-    for _ in range(3 * MOST_TRIES):
+    for _ in range(3 * MAX_ATTEMPTS):
         refusal = Refusal(work.attempt, work.upstream, RefusalReason.NOT_OWNER, 0.0)
         actions = entry.handle_refusal(refusal, now)
         assert find(actions, Conclude) is None and list_reserved(actions) == []
@@ -264,8 +264,8 @@
 RESULTS = [
     Completed(5),
     NeverStarted("refused"),
-    Broken("lost"),
-    Garbled("garbage"),
+    Interrupted("lost"),
+    InvalidResponse("garbage"),
     Prefilled(),
 ]
 
@@ -297,7 +297,7 @@
                     self.reserved.append(work)
                 case StartAttempt():
                     self.running[action.attempt] = action
-                    if action.part is not Part.DECODE:
+                    if action.phase is not Phase.DECODE:
                         done = self.executed.setdefault(action.request, [])
                         done.append(action.attempt)
                 case AbortAttempt(attempt):
@@ -354,11 +354,11 @@
         attempt = list(self.running)[position % len(self.running)]
         action = self.running[attempt]
         result = RESULTS[number]
-        if isinstance(result, Prefilled) and action.part is not Part.PREFILL:
+        if isinstance(result, Prefilled) and action.phase is not Phase.PREFILL:
             return
-        if isinstance(result, NeverStarted) and action.part is not Part.DECODE:
+        if isinstance(result, NeverStarted) and action.phase is not Phase.DECODE:
             self.executed[action.request].remove(attempt)
-        if not isinstance(result, Broken):
+        if not isinstance(result, Interrupted):
             del self.running[attempt]
         self.take(self.entry.handle_result(attempt, result, self.now))
 
@@ -405,7 +405,7 @@
         request = build_request(f"r{incarnation}", repeatable=False, content="cause")
         work, _ = start(entry, request, float(incarnation))
         entry.handle_claim(request.request, None, float(incarnation))
-        entry.handle_result(work.attempt, Broken("lost"), float(incarnation))
+        entry.handle_result(work.attempt, Interrupted("lost"), float(incarnation))
     actions = entry.admit(build_request("r9", content="cause"), 4.0)
     assert find(actions, Conclude).error.kind is ErrorKind.ENDS_UPSTREAMS
     assert find(actions, Conclude).error.ran is Ran.NO
@@ -417,7 +417,7 @@
         request = build_request(f"r{number}", repeatable=False, content="cause")
         work, _ = start(entry, request)
         entry.handle_claim(request.request, None, 0.0)
-        failed = Broken("it answered 500", may_have_ended=False)
+        failed = Interrupted("it answered 500", may_have_crashed=False)
         entry.handle_result(work.attempt, failed, 0.0)
     assert not entry.crashes.ledger.is_suspect("cause")
 
--- a/tests/unit/test_owner.py
+++ b/tests/unit/test_owner.py
@@ -5,9 +5,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from scalebend.core.owner import (
-    GRANT_VALID,
-    HOLD_LEASE,
-    UNKNOWN_GRACE,
+    GRANT_LIFETIME_S,
+    RESERVATION_LEASE_S,
+    UNCLAIMED_GRACE_S,
     CancelOnEngine,
     ReplicaOwner,
     ToEntry,
@@ -107,34 +107,36 @@
 def test_grant_that_nobody_used_expires_and_is_cancelled():
     owner = build_owner()
     reserve(owner, "r1")
-    assert list_cancelled(owner.advance(GRANT_VALID - 0.1)) == []
-    assert list_cancelled(owner.advance(GRANT_VALID)) == ["r1"]
+    assert list_cancelled(owner.advance(GRANT_LIFETIME_S - 0.1)) == []
+    assert list_cancelled(owner.advance(GRANT_LIFETIME_S)) == ["r1"]
 
 
 def test_hold_of_a_dead_entry_expires():
     owner = build_owner()
     reserve(owner, "r1")
     owner.handle(Renew(UPSTREAM, [build_work("r1")]), 1.0)
-    assert list_cancelled(owner.advance(HOLD_LEASE)) == []
-    assert list_cancelled(owner.advance(1.0 + HOLD_LEASE)) == ["r1"]
+    assert list_cancelled(owner.advance(RESERVATION_LEASE_S)) == []
+    assert list_cancelled(owner.advance(1.0 + RESERVATION_LEASE_S)) == ["r1"]
 
 
 def test_restarted_engine_holds_nothing():
     owner = build_owner()
     reserve(owner, "r1")
-    owner.take_announcement(build_announcement(incarnation=2), 1.0)
+    owner.apply_announcement(build_announcement(incarnation=2), 1.0)
     assert owner.ledger.used == 0
-    owner.take_announcement(build_announcement(running=["r1"]), 1.1)
+    owner.apply_announcement(build_announcement(running=["r1"]), 1.1)
     assert owner.ledger.used == 0
 
 
 def test_attempt_that_no_entry_claims_is_cancelled_after_a_grace():
     owner = build_owner()
-    owner.take_announcement(build_announcement(running=["ghost"]), 0.0)
-    owner.take_announcement(build_announcement(running=["ghost"]), UNKNOWN_GRACE - 1)
-    assert list_cancelled(owner.advance(UNKNOWN_GRACE - 0.5)) == []
-    actions = owner.take_announcement(
-        build_announcement(running=["ghost"]), UNKNOWN_GRACE
+    owner.apply_announcement(build_announcement(running=["ghost"]), 0.0)
+    owner.apply_announcement(
+        build_announcement(running=["ghost"]), UNCLAIMED_GRACE_S - 1
+    )
+    assert list_cancelled(owner.advance(UNCLAIMED_GRACE_S - 0.5)) == []
+    actions = owner.apply_announcement(
+        build_announcement(running=["ghost"]), UNCLAIMED_GRACE_S
     )
     assert list_cancelled(actions) == ["ghost"]
 
@@ -144,10 +146,10 @@
     reserve(owner, "r1", memory_tokens=9_000, prefill_tokens=8_000)
     reserve(owner, "r2", memory_tokens=9_000, prefill_tokens=8_000)
     leaving = build_announcement(state=UpstreamState.LEAVING)
-    refused = list_refused(owner.take_announcement(leaving, 1.0))
+    refused = list_refused(owner.apply_announcement(leaving, 1.0))
     assert refused == {"r2": RefusalReason.LEAVING}
     assert list_refused(reserve(owner, "r3")) == {"r3": RefusalReason.LEAVING}
-    assert owner.ledger.holds("r1")
+    assert owner.ledger.has_reservation("r1")
 
 
 def test_wait_that_cannot_end_in_time_is_refused_when_that_is_known():
@@ -192,7 +194,7 @@
     for number in range(3, 60):
         now += 0.5
         reserve(owner, f"fill{number}", now=now, **fill)
-        held = owner.ledger.list_held()
+        held = owner.ledger.list_reserved()
         if "large" in held:
             return
         owner.handle(Renew(UPSTREAM, [build_work(a) for a in held]), now)
@@ -223,7 +225,7 @@
             )
     for _ in range(300):
         now += 0.2
-        (held,) = owner.ledger.list_held()
+        (held,) = owner.ledger.list_reserved()
         used[held[0]] += 1
         owner.handle(Renew(UPSTREAM, [build_work(held)]), now)
         owner.handle(Started(held, UPSTREAM), now)
@@ -272,7 +274,7 @@
     def start_granted(self):
         for attempt, at in list(self.granted.items()):
             del self.granted[attempt]
-            if self.now - at >= GRANT_VALID:
+            if self.now - at >= GRANT_LIFETIME_S:
                 # Late: the engine was told to refuse it, or will be.
                 continue
             held = self.owner.ledger._reserved.get(attempt, 0)
@@ -334,7 +336,7 @@
         announcement = build_announcement(
             incarnation=self.incarnation, running=list(self.engine.list_running())
         )
-        self.take(self.owner.take_announcement(announcement, self.now))
+        self.take(self.owner.apply_announcement(announcement, self.now))
 
     @rule()
     def lose_owner(self):
--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_sharing.py
@@ -8,7 +8,7 @@
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.catalog import build_idle_digest
 from scalebend.core.claims import (
-    CLAIM_LIFETIME,
+    CLAIM_LIFETIME_S,
     Claim,
     ClaimConflict,
     ClaimKnown,
@@ -16,7 +16,7 @@
     ClaimTable,
     ClaimTaken,
     Settle,
-    StoredAnswer,
+    StoredResponse,
     Withdraw,
 )
 from scalebend.core.control_state import ControlState, encode_command
@@ -37,7 +37,7 @@
 from scalebend.models.upstream import CacheEvent, EngineRole
 from tests.lib.builders import ZONE, build_view
 
-ANSWER = StoredAnswer(200, "text/plain", b"done")
+ANSWER = StoredResponse(200, "text/plain", b"done")
 
 
 def test_usage_of_several_instances_adds_up():
@@ -126,9 +126,9 @@
 def test_claims_expire_only_after_their_lifetime():
     table = ClaimTable()
     table.apply(Claim("c", "k", "f", "r1"), 0.0)
-    table.apply(Claim("c", "k2", "f", "r2"), CLAIM_LIFETIME - 1)
+    table.apply(Claim("c", "k2", "f", "r2"), CLAIM_LIFETIME_S - 1)
     assert len(table) == 2
-    table.apply(Claim("c", "k3", "f", "r3"), CLAIM_LIFETIME)
+    table.apply(Claim("c", "k3", "f", "r3"), CLAIM_LIFETIME_S)
     assert len(table) == 2
 
 
@@ -136,7 +136,7 @@
     state = ControlState()
     state.apply(encode_command(Claim("c", "k", "f", "r1")), 1_000.0)
     state.apply(
-        encode_command(Claim("c", "k2", "f", "r2")), 1_000.0 + 10 * CLAIM_LIFETIME
+        encode_command(Claim("c", "k2", "f", "r2")), 1_000.0 + 10 * CLAIM_LIFETIME_S
     )
     known = state.apply(encode_command(Claim("c", "k", "f", "r9")), 1_001.0)
     assert known == ClaimKnown(ClaimState.OPEN, None)
--- a/tests/unit/test_streams.py
+++ b/tests/unit/test_streams.py
@@ -21,7 +21,7 @@
     delivered = []
     for step, offset in enumerate(order):
         if step == end_at:
-            assembler.note_end(12)
+            assembler.record_end(12)
         delivered += assembler.accept(Chunk(offset, b"%d" % offset))
     assert delivered == [b"%d" % n for n in range(len(delivered))]
     seen = set(order)
