--- a/tests/functional/test_cluster.py
+++ b/tests/functional/test_cluster.py
@@ -5,7 +5,7 @@
 import shutil
 import signal
 
-from tests.functional.test_requests import build_answer, read_text
+from tests.functional.test_requests import build_expected_text, read_text
 from tests.lib.cluster import run_cluster
 
 PAUSE_SECONDS = float(os.environ.get("SCALEBEND_PAUSE_SECONDS", "3"))
@@ -16,7 +16,7 @@
     async with cluster.complete(name, prompt, max_tokens=max_tokens) as answer:
         events = await answer.read()
         assert answer.status == 200, events
-    assert read_text(events) == build_answer(prompt, max_tokens)
+    assert read_text(events) == build_expected_text(prompt, max_tokens)
 
 
 async def test_system_survives_the_loss_of_its_members(tmp_path):
--- a/tests/functional/test_keys.py
+++ b/tests/functional/test_keys.py
@@ -20,7 +20,7 @@
 from scalebend.standins.engine_server import EngineOptions, serve_engine
 from scalebend.standins.ports import find_free_ports
 from scalebend.utils.keys import hash_key
-from tests.functional.test_requests import build_answer, read_text
+from tests.functional.test_requests import build_expected_text, read_text
 from tests.lib.builders import MODEL, ZONE
 from tests.lib.fleet import CONFIGURATION, apply_configuration, run_fleet
 
@@ -55,7 +55,7 @@
                 assert answer.status == 202
             async with fleet.complete("over tls") as answer:
                 events = await answer.read()
-        assert read_text(events) == build_answer("over tls", 4)
+        assert read_text(events) == build_expected_text("over tls", 4)
         plain = fleet.url.replace("https", "http")
         with pytest.raises(aiohttp.ClientError):
             async with fleet.session.get(f"{plain}/health/live"):
--- a/tests/lib/builders.py
+++ b/tests/lib/builders.py
@@ -1,4 +1,4 @@
-"""Small builders of core objects for tests."""
+"""Builders of core objects with default values for tests."""
 
 from scalebend.models.ids import (
     AttemptId,
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -1,4 +1,4 @@
-"""One real instance with stand-in upstreams, over loopback."""
+"""Runs one real instance with stand-in upstreams on the loopback interface."""
 
 import asyncio
 import contextlib
@@ -146,5 +146,5 @@
     document = ConfigurationChange(base, change, configuration, "tests")
     async with fleet.session.post(
         f"{fleet.url}/admin/configuration", data=msgspec.json.encode(document)
-    ) as answer:
-        return answer.status, await answer.json()
+    ) as response:
+        return response.status, await response.json()
--- a/tests/unit/test_entry.py
+++ b/tests/unit/test_entry.py
@@ -1,4 +1,4 @@
-"""Way of a request through its entry: retries, claims, moves, time limits."""
+"""Entry: retries, claims, KV cache transfers, time limits and crashes."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
@@ -59,11 +59,11 @@
     }
 
 
-def find(actions, kind):
+def find_action(actions, kind):
     return next((action for action in actions if isinstance(action, kind)), None)
 
 
-def start(entry, request, now=0.0):
+def start_request(entry, request, now=0.0):
     (work,) = list_reserved(entry.admit(request, now))
     actions = entry.handle_grant(Grant(work.attempt, work.upstream, 2.0), now)
     return work, actions
@@ -74,86 +74,86 @@
     return work, entry.handle_grant(Grant(work.attempt, work.upstream, 2.0), now)
 
 
-def test_request_that_did_not_start_is_tried_elsewhere_and_said_not_run():
+def test_unstarted_request_is_retried_elsewhere_and_reported_as_not_run():
     entry = build_entry()
-    work, actions = start(entry, build_request("r", repeatable=False))
-    assert find(actions, ClaimKey)
+    work, actions = start_request(entry, build_request("r", repeatable=False))
+    assert find_action(actions, ClaimKey)
     actions = entry.handle_claim("r", None, 0.0)
-    assert find(actions, StartAttempt).upstreams == (work.upstream,)
+    assert find_action(actions, StartAttempt).upstreams == (work.upstream,)
     actions = entry.handle_result(work.attempt, NeverStarted("refused"), 0.0)
     assert list_released(actions) == {work.upstream: Outcome.UNUSED}
     second, actions = grant_next(entry, entry.advance(1.0), 1.0)
     assert second.upstream != work.upstream
-    assert find(actions, ClaimKey) is None
+    assert find_action(actions, ClaimKey) is None
     actions = entry.handle_result(second.attempt, NeverStarted("refused"), 1.0)
     actions += entry.advance(5.0)
-    assert find(actions, Conclude).error.ran is Ran.NO
+    assert find_action(actions, Conclude).error.ran is Ran.NO
 
 
 def test_request_not_to_be_repeated_is_never_sent_twice():
     entry = build_entry()
-    work, _ = start(entry, build_request("r", repeatable=False))
+    work, _ = start_request(entry, build_request("r", repeatable=False))
     entry.handle_claim("r", None, 0.0)
     actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.0)
-    assert find(actions, Conclude).error.ran is Ran.UNKNOWN
+    assert find_action(actions, Conclude).error.ran is Ran.UNKNOWN
     assert list_reserved(actions) == []
 
 
-def test_claim_that_did_not_take_starts_nothing():
+def test_rejected_claim_starts_no_attempt():
     entry = build_entry()
-    work, _ = start(entry, build_request("r", repeatable=False))
+    work, _ = start_request(entry, build_request("r", repeatable=False))
     actions = entry.handle_claim("r", ClaimError("taken"), 0.0)
-    assert find(actions, StartAttempt) is None
-    assert find(actions, Conclude).error.kind is ErrorKind.ALREADY_CLAIMED
+    assert find_action(actions, StartAttempt) is None
+    assert find_action(actions, Conclude).error.kind is ErrorKind.ALREADY_CLAIMED
     assert list_released(actions) == {work.upstream: Outcome.UNUSED}
 
 
-def test_repeatable_request_is_retried_until_tries_are_used_up():
+def test_idempotent_request_is_retried_up_to_the_attempt_limit():
     entry = build_entry(engines=8)
-    work, actions = start(entry, build_request("r"))
+    work, actions = start_request(entry, build_request("r"))
     for tries in range(MAX_ATTEMPTS - 1):
         actions = entry.handle_result(work.attempt, Interrupted("lost"), float(tries))
-        assert find(actions, Conclude) is None
+        assert find_action(actions, Conclude) is None
         actions += entry.advance(tries + 0.9)
         work, _ = grant_next(entry, actions, tries + 0.9)
     actions = entry.handle_result(work.attempt, Interrupted("lost"), 9.0)
-    assert find(actions, Conclude).error.kind is ErrorKind.UPSTREAM_FAILED
+    assert find_action(actions, Conclude).error.kind is ErrorKind.UPSTREAM_FAILED
 
 
-def test_retries_are_budgeted():
+def test_retries_stay_within_the_retry_budget():
     entry = build_entry(engines=3)
     concluded = 0
     for number in range(100):
-        work, _ = start(entry, build_request(f"r{number}"))
+        work, _ = start_request(entry, build_request(f"r{number}"))
         actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.0)
-        concluded += find(actions, Conclude) is not None
+        concluded += find_action(actions, Conclude) is not None
     assert concluded >= 100 - 10 - 20
 
 
 def test_delivered_stream_is_resumed_not_restarted():
     entry = build_entry()
-    work, _ = start(entry, build_request("r"))
+    work, _ = start_request(entry, build_request("r"))
     entry.handle_started(work.attempt, 0.1)
     for _ in range(3):
         actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.2)
-        assert find(actions, ResumeAttempt).attempt == work.attempt
+        assert find_action(actions, ResumeAttempt).attempt == work.attempt
     actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.3)
-    assert find(actions, Conclude).error.ran is Ran.YES
+    assert find_action(actions, Conclude).error.ran is Ran.YES
     assert list_released(actions) == {work.upstream: Outcome.ABANDONED}
 
 
 def test_time_limit_gives_back_what_was_held():
     entry = build_entry()
-    work, _ = start(entry, build_request("r", deadline=5.0))
+    work, _ = start_request(entry, build_request("r", deadline=5.0))
     assert entry.advance(4.9) == []
     actions = entry.advance(5.0)
-    assert find(actions, AbortAttempt).attempt == work.attempt
-    assert find(actions, Conclude).error.kind is ErrorKind.TIME_LIMIT
+    assert find_action(actions, AbortAttempt).attempt == work.attempt
+    assert find_action(actions, Conclude).error.kind is ErrorKind.TIME_LIMIT
     assert list_released(actions) == {work.upstream: Outcome.ABANDONED}
     assert len(entry) == 0
 
 
-def test_late_grant_is_given_back():
+def test_grant_for_a_cancelled_request_is_released():
     entry = build_entry()
     (work,) = list_reserved(entry.admit(build_request("r"), 0.0))
     entry.cancel("r", 0.0)
@@ -161,14 +161,14 @@
     assert list_released(actions) == {work.upstream: Outcome.UNUSED}
 
 
-def test_unanswered_reservation_is_sent_again():
+def test_reservation_without_a_reply_is_sent_again():
     entry = build_entry()
     (work,) = list_reserved(entry.admit(build_request("r"), 0.0))
     assert list_reserved(entry.renew(0.5)) == []
     assert list_reserved(entry.renew(1.0)) == [work]
 
 
-def test_long_prompt_reserves_in_one_order_and_all_or_none():
+def test_long_prompt_reserves_in_fixed_order_and_all_or_nothing():
     entry = build_entry(engines=3)
     request = build_request("r", prompt_tokens=25_000, output_tokens=200)
     actions = entry.admit(request, 0.0)
@@ -184,38 +184,38 @@
     assert list_released(actions)[first.upstream] is Outcome.UNUSED
 
 
-def test_prompt_that_fits_no_group_is_refused_as_not_run():
+def test_prompt_too_long_for_any_group_is_rejected_as_not_run():
     entry = build_entry(engines=5)
     actions = entry.admit(build_request("r", prompt_tokens=50_000), 0.0)
-    error = find(actions, Conclude).error
+    error = find_action(actions, Conclude).error
     assert (error.kind, error.ran) == (ErrorKind.PROMPT_TOO_LONG, Ran.NO)
 
 
-def move(entry, engines=5):
-    work, actions = start(entry, build_request("r"))
-    assert find(actions, StartAttempt).phase is Phase.PREFILL
+def run_prefill(entry, engines=5):
+    work, actions = start_request(entry, build_request("r"))
+    assert find_action(actions, StartAttempt).phase is Phase.PREFILL
     entry.handle_started(work.attempt, 0.1)
     (target,) = list_reserved(entry.handle_result(work.attempt, Prefilled(), 0.1))
     return work, target
 
 
-def test_prefilled_request_moves_and_frees_the_first_engine():
+def test_transfer_to_the_decode_engine_releases_the_prefill_engine():
     entry = build_entry(engines=5, strategy="split-fair")
-    work, target = move(entry)
+    work, target = run_prefill(entry)
     actions = entry.handle_grant(Grant(target.attempt, target.upstream, 2.0), 0.2)
-    started = find(actions, StartAttempt)
+    started = find_action(actions, StartAttempt)
     assert (started.phase, started.source) == (Phase.DECODE, work.upstream)
     actions = entry.handle_started(work.attempt, 0.3)
     assert list_released(actions) == {work.upstream: Outcome.ABANDONED}
     assert any(isinstance(a.message, Started) for a in actions)
     actions = entry.handle_result(work.attempt, Completed(100), 1.0)
     assert list_released(actions) == {target.upstream: Outcome.FINISHED}
-    assert find(actions, Conclude).error is None
+    assert find_action(actions, Conclude).error is None
 
 
-def test_move_that_is_refused_goes_to_another_engine():
+def test_refused_transfer_goes_to_another_engine():
     entry = build_entry(engines=5, strategy="split-fair")
-    work, target = move(entry)
+    work, target = run_prefill(entry)
     refusal = Refusal(target.attempt, target.upstream, RefusalReason.LEAVING, 1.0)
     actions = entry.handle_refusal(refusal, 0.2)
     (other,) = list_reserved(actions)
@@ -225,21 +225,21 @@
     assert third.upstream not in (target.upstream, other.upstream)
 
 
-def test_move_waits_while_the_decode_engines_owner_changes():
+def test_transfer_waits_while_the_decode_engines_owner_changes():
     entry = build_entry(engines=5, strategy="split-fair")
-    _, target = move(entry)
+    _, target = run_prefill(entry)
     refusal = Refusal(target.attempt, target.upstream, RefusalReason.NOT_OWNER, 0.5)
     for now in (0.2, 0.3, 0.4):
         assert entry.handle_refusal(refusal, now) == []
     assert list_reserved(entry.handle_owner_changed({target.upstream}, 0.5)) == [target]
     assert list_reserved(entry.renew(2.0)) == [target]
     actions = entry.handle_grant(Grant(target.attempt, target.upstream, 2.0), 2.1)
-    assert find(actions, StartAttempt).upstreams == (target.upstream,)
+    assert find_action(actions, StartAttempt).upstreams == (target.upstream,)
 
 
-def test_time_limit_during_a_move_frees_both_engines():
+def test_time_limit_during_a_transfer_releases_both_engines():
     entry = build_entry(engines=5, strategy="split-fair")
-    work, target = move(entry)
+    work, target = run_prefill(entry)
     released = list_released(entry.advance(60.0))
     assert released == {
         work.upstream: Outcome.ABANDONED,
@@ -247,18 +247,18 @@
     }
 
 
-def test_change_of_owner_costs_no_try_and_excludes_no_replica():
+def test_owner_change_uses_no_attempt_and_excludes_no_replica():
     entry = build_entry(engines=1)
     now = 0.0
     (work,) = list_reserved(entry.admit(build_request("r"), now))
     for _ in range(3 * MAX_ATTEMPTS):
         refusal = Refusal(work.attempt, work.upstream, RefusalReason.NOT_OWNER, 0.0)
         actions = entry.handle_refusal(refusal, now)
-        assert find(actions, Conclude) is None and list_reserved(actions) == []
+        assert find_action(actions, Conclude) is None and list_reserved(actions) == []
         now += 0.2
         (work,) = list_reserved(entry.advance(now))
     actions = entry.handle_grant(Grant(work.attempt, work.upstream, 2.0), now)
-    assert find(actions, StartAttempt)
+    assert find_action(actions, StartAttempt)
 
 
 RESULTS = [
@@ -271,15 +271,15 @@
 
 
 class EntryMachine(RuleBasedStateMachine):
-    """One entry whose owners, engines and claims answer in any way and order.
+    """One entry whose owners, engines and claims reply in any way and order.
 
-    The oracle counts, for each request, conclusions and executions: exactly one of
-    the first by the time limit, at most one of the second when it must not be
-    repeated, none when it was refused as not run.
+    The oracle counts conclusions and executions of each request: exactly one conclusion
+    within the time limit, at most one execution of a non-idempotent request, and none
+    of a request that was reported as not run.
     """
 
     @initialize()
-    def begin(self):
+    def initialize_entry(self):
         self.now = 0.0
         self.entry = build_entry(engines=5, strategy="split-fair")
         self.count = 0
@@ -290,7 +290,7 @@
         self.executed = {}
         self.concluded = {}
 
-    def take(self, actions):
+    def execute(self, actions):
         for action in actions:
             match action:
                 case ToOwner(_, Reserve(work)):
@@ -318,7 +318,7 @@
             is_streamed=streamed,
         )
         self.requests[request.request] = request
-        self.take(self.entry.admit(request, self.now))
+        self.execute(self.entry.admit(request, self.now))
 
     @rule(position=st.integers(0, 9), twice=st.booleans())
     def grant(self, position, twice):
@@ -326,29 +326,29 @@
             work = self.reserved.pop(position % len(self.reserved))
             for _ in range(1 + twice):
                 message = Grant(work.attempt, work.upstream, 2.0)
-                self.take(self.entry.handle_grant(message, self.now))
+                self.execute(self.entry.handle_grant(message, self.now))
 
     @rule(position=st.integers(0, 9), reason=st.sampled_from(list(RefusalReason)))
     def refuse(self, position, reason):
         if self.reserved:
             work = self.reserved.pop(position % len(self.reserved))
             message = Refusal(work.attempt, work.upstream, reason, 1.0)
-            self.take(self.entry.handle_refusal(message, self.now))
+            self.execute(self.entry.handle_refusal(message, self.now))
 
     @rule(succeeds=st.booleans())
-    def answer_claim(self, succeeds):
+    def reply_to_claim(self, succeeds):
         if self.claims:
             error = None if succeeds else ClaimError("taken")
-            self.take(self.entry.handle_claim(self.claims.pop(0), error, self.now))
+            self.execute(self.entry.handle_claim(self.claims.pop(0), error, self.now))
 
     @rule(position=st.integers(0, 9))
-    def begin_stream(self, position):
+    def start_stream(self, position):
         if self.running:
             attempt = list(self.running)[position % len(self.running)]
-            self.take(self.entry.handle_started(attempt, self.now))
+            self.execute(self.entry.handle_started(attempt, self.now))
 
     @rule(position=st.integers(0, 9), number=st.integers(0, len(RESULTS) - 1))
-    def end(self, position, number):
+    def end_attempt(self, position, number):
         if not self.running:
             return
         attempt = list(self.running)[position % len(self.running)]
@@ -360,23 +360,23 @@
             self.executed[action.request].remove(attempt)
         if not isinstance(result, Interrupted):
             del self.running[attempt]
-        self.take(self.entry.handle_result(attempt, result, self.now))
+        self.execute(self.entry.handle_result(attempt, result, self.now))
 
     @rule(seconds=st.sampled_from([0.05, 1.0, 4.0]))
     def pass_time(self, seconds):
         self.now += seconds
-        self.take(self.entry.advance(self.now))
-        self.take(self.entry.renew(self.now))
+        self.execute(self.entry.advance(self.now))
+        self.execute(self.entry.renew(self.now))
 
     @rule(number=st.integers(0, 4))
-    def lose_upstream(self, number):
+    def remove_upstream(self, number):
         name = f"engine-{number}"
         self.entry.catalog.remove(name)
-        self.take(self.entry.handle_upstream_gone(name, self.now))
+        self.execute(self.entry.handle_upstream_gone(name, self.now))
         self.entry.catalog.take_announcement(build_announcement(name), self.now)
 
     @invariant()
-    def promises_hold(self):
+    def requests_are_handled_safely(self):
         for name, request in self.requests.items():
             if name not in self.concluded:
                 assert self.now <= request.deadline
@@ -384,12 +384,12 @@
             assert request.repeatable or runs <= 1
             at, error = self.concluded.get(name, (None, None))
             if error is not None and error.ran is Ran.NO:
-                assert runs == 0, "said not run, but it ran"
+                assert runs == 0, "reported as not run, but it ran"
 
     def teardown(self):
         if hasattr(self, "entry"):
             self.now += 11.0
-            self.take(self.entry.advance(self.now))
+            self.execute(self.entry.advance(self.now))
             assert set(self.concluded) == set(self.requests)
             assert len(self.entry) == 0
 
@@ -397,38 +397,38 @@
 TestEntryMachine = EntryMachine.TestCase
 
 
-def test_engine_that_starts_again_under_its_name_is_another_one():
+def test_crashes_of_several_incarnations_of_an_engine_count_separately():
     entry = build_entry(1)
     for incarnation in range(1, 4):
         announcement = build_announcement("engine-0", incarnation=incarnation)
         entry.catalog.take_announcement(announcement, float(incarnation))
         request = build_request(f"r{incarnation}", repeatable=False, content="cause")
-        work, _ = start(entry, request, float(incarnation))
+        work, _ = start_request(entry, request, float(incarnation))
         entry.handle_claim(request.request, None, float(incarnation))
         entry.handle_result(work.attempt, Interrupted("lost"), float(incarnation))
     actions = entry.admit(build_request("r9", content="cause"), 4.0)
-    assert find(actions, Conclude).error.kind is ErrorKind.ENDS_UPSTREAMS
-    assert find(actions, Conclude).error.ran is Ran.NO
+    assert find_action(actions, Conclude).error.kind is ErrorKind.ENDS_UPSTREAMS
+    assert find_action(actions, Conclude).error.ran is Ran.NO
 
 
-def test_failure_that_an_engine_tells_itself_is_not_its_end():
+def test_failure_reported_by_an_engine_is_no_crash():
     entry = build_entry(6)
     for number in range(4):
         request = build_request(f"r{number}", repeatable=False, content="cause")
-        work, _ = start(entry, request)
+        work, _ = start_request(entry, request)
         entry.handle_claim(request.request, None, 0.0)
         failed = Interrupted("it answered 500", may_have_crashed=False)
         entry.handle_result(work.attempt, failed, 0.0)
     assert not entry.crashes.ledger.is_suspect("cause")
 
 
-def test_request_that_waits_for_its_grant_is_not_started_once_it_is_held():
+def test_request_quarantined_before_its_grant_is_not_started():
     entry = build_entry(6)
     request = build_request("r", content="cause")
     (work,) = list_reserved(entry.admit(request, 0.0))
     for number in range(3):
         entry.crashes.record_crash(request, f"engine-{number}", 1, 0.0)
     actions = entry.handle_grant(Grant(work.attempt, work.upstream, 2.0), 0.0)
-    assert find(actions, StartAttempt) is None
-    assert find(actions, Conclude).error.ran is Ran.NO
+    assert find_action(actions, StartAttempt) is None
+    assert find_action(actions, Conclude).error.ran is Ran.NO
     assert list_released(actions) == {work.upstream: Outcome.UNUSED}
--- a/tests/unit/test_owner.py
+++ b/tests/unit/test_owner.py
@@ -1,4 +1,4 @@
-"""Memory, leases and queue of one replica's owner."""
+"""Owner of a replica: memory, leases, queue and shares of customers."""
 
 import pytest
 from hypothesis import strategies as st
@@ -57,36 +57,36 @@
     return [a.attempt for a in actions if isinstance(a, CancelOnEngine)]
 
 
-def reserve(owner, attempt, now=0.0, **changes):
+def send_reserve(owner, attempt, now=0.0, **changes):
     return owner.handle(Reserve(build_work(attempt, **changes)), now)
 
 
-def release(owner, attempt, outcome, now=0.0):
+def send_release(owner, attempt, outcome, now=0.0):
     return owner.handle(Release(attempt, UPSTREAM, outcome, 100), now)
 
 
-def test_memory_is_never_overfilled():
+def test_grants_never_exceed_the_memory():
     owner = build_owner()
     granted = []
     for number in range(20):
-        granted += list_granted(reserve(owner, f"r{number}"))
+        granted += list_granted(send_reserve(owner, f"r{number}"))
         for attempt in granted:
             owner.handle(Started(attempt, UPSTREAM), 0.0)
     assert len(granted) <= 10
     assert owner.ledger.used <= 10_000
 
 
-def test_lost_grant_is_given_again():
+def test_repeated_reservation_gets_its_grant_again():
     owner = build_owner()
-    assert list_granted(reserve(owner, "r1")) == ["r1"]
-    assert list_granted(reserve(owner, "r1")) == ["r1"]
+    assert list_granted(send_reserve(owner, "r1")) == ["r1"]
+    assert list_granted(send_reserve(owner, "r1")) == ["r1"]
     assert owner.ledger.used == 1_000
 
 
 def test_abandoned_memory_is_owed_until_the_engine_confirms():
     owner = build_owner()
-    reserve(owner, "r1")
-    actions = release(owner, "r1", Outcome.ABANDONED)
+    send_reserve(owner, "r1")
+    actions = send_release(owner, "r1", Outcome.ABANDONED)
     assert list_cancelled(actions) == ["r1"]
     assert owner.ledger.used == 1_000
     assert list_cancelled(owner.advance(0.4)) == []
@@ -96,32 +96,32 @@
     assert list_cancelled(owner.advance(5.0)) == []
 
 
-def test_owed_attempt_is_not_granted_again():
+def test_attempt_with_an_unconfirmed_cancellation_is_not_granted():
     owner = build_owner()
-    reserve(owner, "r1")
-    release(owner, "r1", Outcome.ABANDONED)
-    refused = list_refused(reserve(owner, "r1"))
+    send_reserve(owner, "r1")
+    send_release(owner, "r1", Outcome.ABANDONED)
+    refused = list_refused(send_reserve(owner, "r1"))
     assert refused == {"r1": RefusalReason.NOT_OWNER}
 
 
 def test_grant_that_nobody_used_expires_and_is_cancelled():
     owner = build_owner()
-    reserve(owner, "r1")
+    send_reserve(owner, "r1")
     assert list_cancelled(owner.advance(GRANT_LIFETIME_S - 0.1)) == []
     assert list_cancelled(owner.advance(GRANT_LIFETIME_S)) == ["r1"]
 
 
-def test_hold_of_a_dead_entry_expires():
+def test_reservation_of_a_crashed_entry_expires():
     owner = build_owner()
-    reserve(owner, "r1")
+    send_reserve(owner, "r1")
     owner.handle(Renew(UPSTREAM, [build_work("r1")]), 1.0)
     assert list_cancelled(owner.advance(RESERVATION_LEASE_S)) == []
     assert list_cancelled(owner.advance(1.0 + RESERVATION_LEASE_S)) == ["r1"]
 
 
-def test_restarted_engine_holds_nothing():
+def test_restarted_engine_has_no_reservations():
     owner = build_owner()
-    reserve(owner, "r1")
+    send_reserve(owner, "r1")
     owner.apply_announcement(build_announcement(incarnation=2), 1.0)
     assert owner.ledger.used == 0
     owner.apply_announcement(build_announcement(running=["r1"]), 1.1)
@@ -143,32 +143,34 @@
 
 def test_leaving_engine_refuses_what_waits_and_what_comes():
     owner = build_owner()
-    reserve(owner, "r1", memory_tokens=9_000, prefill_tokens=8_000)
-    reserve(owner, "r2", memory_tokens=9_000, prefill_tokens=8_000)
+    send_reserve(owner, "r1", memory_tokens=9_000, prefill_tokens=8_000)
+    send_reserve(owner, "r2", memory_tokens=9_000, prefill_tokens=8_000)
     leaving = build_announcement(state=UpstreamState.LEAVING)
     refused = list_refused(owner.apply_announcement(leaving, 1.0))
     assert refused == {"r2": RefusalReason.LEAVING}
-    assert list_refused(reserve(owner, "r3")) == {"r3": RefusalReason.LEAVING}
+    assert list_refused(send_reserve(owner, "r3")) == {"r3": RefusalReason.LEAVING}
     assert owner.ledger.has_reservation("r1")
 
 
 def test_wait_that_cannot_end_in_time_is_refused_when_that_is_known():
     owner = build_owner()
-    reserve(owner, "r1", prefill_tokens=9_000, memory_tokens=9_500)
-    reserve(owner, "r2", prefill_tokens=9_000, memory_tokens=9_500, patience=5.0)
+    send_reserve(owner, "r1", prefill_tokens=9_000, memory_tokens=9_500)
+    send_reserve(owner, "r2", prefill_tokens=9_000, memory_tokens=9_500, patience=5.0)
     refused = list_refused(
-        reserve(owner, "r3", prefill_tokens=9_000, memory_tokens=9_500, patience=0.5)
+        send_reserve(
+            owner, "r3", prefill_tokens=9_000, memory_tokens=9_500, patience=0.5
+        )
     )
     assert refused == {"r3": RefusalReason.TOO_LATE}
     assert list_refused(owner.advance(4.9)) == {}
     assert list_refused(owner.advance(5.0)) == {"r2": RefusalReason.TOO_LATE}
 
 
-def test_new_owner_listens_before_it_grants():
+def test_new_owner_collects_renewals_before_it_grants():
     owner = ReplicaOwner(
         build_view(), FAIR, ShareLedger(), incarnation=1, grants_from=1.5
     )
-    assert list_granted(reserve(owner, "new", memory_tokens=5_000)) == []
+    assert list_granted(send_reserve(owner, "new", memory_tokens=5_000)) == []
     works = [build_work(f"old{number}") for number in range(8)]
     owner.handle(Renew(UPSTREAM, works), 1.0)
     assert list_granted(owner.advance(1.5)) == []
@@ -178,28 +180,28 @@
 def test_small_prompt_overtakes_a_large_one():
     owner = build_owner(memory_tokens=1_000_000)
     large = {"prefill_tokens": 90_000, "memory_tokens": 90_100}
-    assert list_granted(reserve(owner, "large", **large)) == ["large"]
-    assert list_granted(reserve(owner, "more", **large)) == []
-    assert list_granted(reserve(owner, "small")) == ["small"]
+    assert list_granted(send_reserve(owner, "large", **large)) == ["large"]
+    assert list_granted(send_reserve(owner, "more", **large)) == []
+    assert list_granted(send_reserve(owner, "small")) == ["small"]
 
 
-def test_large_prompt_is_not_passed_over_for_good():
+def test_large_prompt_does_not_starve():
     owner = build_owner(memory_tokens=100_000, concurrency=100)
     fill = {"prefill_tokens": 5_000, "memory_tokens": 30_000}
     for number in range(3):
-        reserve(owner, f"fill{number}", **fill)
+        send_reserve(owner, f"fill{number}", **fill)
         owner.handle(Started(f"fill{number}", UPSTREAM), 0.0)
-    reserve(owner, "large", prefill_tokens=80_000, memory_tokens=80_000)
+    send_reserve(owner, "large", prefill_tokens=80_000, memory_tokens=80_000)
     now = 0.0
     for number in range(3, 60):
         now += 0.5
-        reserve(owner, f"fill{number}", now=now, **fill)
+        send_reserve(owner, f"fill{number}", now=now, **fill)
         held = owner.ledger.list_reserved()
         if "large" in held:
             return
         owner.handle(Renew(UPSTREAM, [build_work(a) for a in held]), now)
         owner.handle(Started(held[0], UPSTREAM), now)
-        release(owner, held[0], Outcome.FINISHED, now)
+        send_release(owner, held[0], Outcome.FINISHED, now)
     raise AssertionError("the large prompt never started")
 
 
@@ -214,7 +216,7 @@
     now = 0.0
     for number in range(400):
         for customer in "ab":
-            reserve(
+            send_reserve(
                 owner,
                 f"{customer}{number}",
                 now=now,
@@ -229,20 +231,20 @@
         used[held[0]] += 1
         owner.handle(Renew(UPSTREAM, [build_work(held)]), now)
         owner.handle(Started(held, UPSTREAM), now)
-        release(owner, held, Outcome.FINISHED, now)
+        send_release(owner, held, Outcome.FINISHED, now)
     entitled = weights[0] / sum(weights)
     assert used["a"] / 300 == pytest.approx(entitled, abs=0.03)
 
 
 class OwnerMachine(RuleBasedStateMachine):
-    """One owner, one engine model, entries that die, and messages that go wrong.
+    """One owner and one engine model, with crashing entries and lost messages.
 
-    The oracle is the engine: it refuses what does not fit, so that it must never be
-    asked to; and once all entries are silent, its memory must come back.
+    The engine model is the oracle: no granted attempt may exceed its memory, and all
+    memory must be free some time after the last renewal.
     """
 
     @initialize()
-    def begin(self):
+    def initialize_owner(self):
         self.now = 0.0
         self.engine = EngineModel(EngineParameters(memory_tokens=10_000))
         self.incarnation = 1
@@ -250,44 +252,46 @@
         self.count = 0
         self.granted = {}
         self.running = {}
-        self.cancels = []
+        self.cancellations = []
 
-    def build(self, attempt, size):
+    def build_sized_work(self, attempt, size):
         return build_work(attempt, memory_tokens=size, prefill_tokens=size // 2)
 
-    def take(self, actions):
+    def execute(self, actions):
         for action in actions:
             match action:
                 case ToEntry(_, Grant(attempt)):
                     self.granted[attempt] = self.now
                 case CancelOnEngine(_, attempt):
-                    self.cancels.append(attempt)
+                    self.cancellations.append(attempt)
 
     @rule(size=st.sampled_from([200, 1_000, 4_500, 9_000]), twice=st.booleans())
     def reserve(self, size, twice):
         self.count += 1
-        work = self.build(f"w{self.count}", size)
+        work = self.build_sized_work(f"w{self.count}", size)
         for _ in range(1 + twice):
-            self.take(self.owner.handle(Reserve(work), self.now))
+            self.execute(self.owner.handle(Reserve(work), self.now))
 
     @rule()
     def start_granted(self):
         for attempt, at in list(self.granted.items()):
             del self.granted[attempt]
             if self.now - at >= GRANT_LIFETIME_S:
-                # Late: the engine was told to refuse it, or will be.
+                # The grant expired: the owner has cancelled the attempt or will.
                 continue
             held = self.owner.ledger._reserved.get(attempt, 0)
             refused = self.engine.refused_full
             if held and self.engine.hold(attempt, held):
                 self.running[attempt] = held
-            assert self.engine.refused_full == refused, "the engine was overfilled"
+            assert self.engine.refused_full == refused, (
+                "the attempt does not fit into the engine's memory"
+            )
 
     @rule(lose=st.booleans())
     def renew(self, lose):
-        works = [self.build(a, size) for a, size in self.running.items()]
+        works = [self.build_sized_work(a, size) for a, size in self.running.items()]
         if not lose:
-            self.take(self.owner.handle(Renew(UPSTREAM, works), self.now))
+            self.execute(self.owner.handle(Renew(UPSTREAM, works), self.now))
 
     @rule(position=st.integers(0, 9), lose=st.booleans())
     def finish(self, position, lose):
@@ -297,7 +301,7 @@
             self.engine.cancel(attempt, self.now)
             if not lose:
                 message = Release(attempt, UPSTREAM, Outcome.FINISHED, 10)
-                self.take(self.owner.handle(message, self.now))
+                self.execute(self.owner.handle(message, self.now))
 
     @rule(position=st.integers(0, 9), lose=st.booleans())
     def abandon(self, position, lose):
@@ -306,23 +310,23 @@
             del self.running[attempt]
             if not lose:
                 message = Release(attempt, UPSTREAM, Outcome.ABANDONED)
-                self.take(self.owner.handle(message, self.now))
+                self.execute(self.owner.handle(message, self.now))
 
-    @rule(lose=st.booleans(), lose_answer=st.booleans())
-    def cancel(self, lose, lose_answer):
-        if self.cancels:
-            attempt = self.cancels.pop(0)
+    @rule(lose=st.booleans(), lose_confirmation=st.booleans())
+    def cancel(self, lose, lose_confirmation):
+        if self.cancellations:
+            attempt = self.cancellations.pop(0)
             if lose:
                 return
             self.engine.cancel(attempt, self.now)
             self.running.pop(attempt, None)
-            if not lose_answer:
-                self.take(self.owner.confirm_cancelled(attempt, self.now))
+            if not lose_confirmation:
+                self.execute(self.owner.confirm_cancelled(attempt, self.now))
 
     @rule(seconds=st.sampled_from([0.05, 0.6, 3.0]))
     def pass_time(self, seconds):
         self.now += seconds
-        self.take(self.owner.advance(self.now))
+        self.execute(self.owner.advance(self.now))
 
     @rule()
     def restart_engine(self):
@@ -336,10 +340,10 @@
         announcement = build_announcement(
             incarnation=self.incarnation, running=list(self.engine.list_running())
         )
-        self.take(self.owner.apply_announcement(announcement, self.now))
+        self.execute(self.owner.apply_announcement(announcement, self.now))
 
     @rule()
-    def lose_owner(self):
+    def replace_owner(self):
         self.owner = ReplicaOwner(
             build_view(),
             FAIR,
@@ -348,16 +352,16 @@
             grants_from=self.now + 1.5,
         )
         self.granted.clear()
-        works = [self.build(a, size) for a, size in self.running.items()]
-        self.take(self.owner.handle(Renew(UPSTREAM, works), self.now))
+        works = [self.build_sized_work(a, size) for a, size in self.running.items()]
+        self.execute(self.owner.handle(Renew(UPSTREAM, works), self.now))
 
     @invariant()
-    def ledger_covers_what_entries_run(self):
+    def ledger_covers_running_attempts(self):
         held = sum(self.running.values())
         assert held <= self.owner.ledger.used or not self.running
 
     def teardown(self):
-        """Every entry falls silent: all memory comes back."""
+        """All memory is freed once no entry sends renewals."""
         if not hasattr(self, "engine"):
             return
         self.granted.clear()
@@ -365,7 +369,7 @@
             self.pass_time(0.6)
             self.announce()
             self.granted.clear()
-            while self.cancels:
+            while self.cancellations:
                 self.cancel(False, False)
         assert self.engine.used_tokens == 0
         assert self.owner.ledger.used == 0
--- a/tests/unit/test_streams.py
+++ b/tests/unit/test_streams.py
@@ -1,4 +1,4 @@
-"""Resumed streams: nothing missing, nothing doubled."""
+"""Resumed streams deliver every chunk exactly once."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -34,40 +34,40 @@
     sizes=st.lists(st.integers(1, 40), min_size=1, max_size=30),
     breaks=st.lists(st.integers(0, 400), max_size=4),
 )
-def test_framer_gives_the_same_bytes_over_any_cuts_and_links(count, sizes, breaks):
+def test_framer_output_does_not_depend_on_reads_and_reconnects(count, sizes, breaks):
     events = build_events(count)
     framer = EventFramer()
-    passed = b""
-    for link in [*breaks, None]:
-        # A resumed link begins at the first event that was not delivered, or
-        # earlier when the upstream repeats some.
-        first = max(0, framer.next_offset - (link or 0) % 3)
+    output = b""
+    for length in [*breaks, None]:
+        # A resumed connection starts at the first event that was not delivered, or
+        # earlier if the upstream repeats some.
+        first = max(0, framer.next_offset - (length or 0) % 3)
         data = b"".join(events[first:])
-        if link is not None:
-            data = data[:link]
+        if length is not None:
+            data = data[:length]
         position = 0
-        turn = 0
+        read_count = 0
         while position < len(data):
-            size = sizes[turn % len(sizes)]
-            passed += framer.feed(data[position : position + size])
+            size = sizes[read_count % len(sizes)]
+            output += framer.feed(data[position : position + size])
             position += size
-            turn += 1
+            read_count += 1
         framer.restart()
-    assert passed == b"".join(events)
+    assert output == b"".join(events)
     assert framer.is_whole
 
 
 @pytest.mark.parametrize(
     "data", [b"\x00\x01", b"data: no id\n\n", b"<html>", b"x" * 2_000_000]
 )
-def test_garbage_is_told_from_a_stream(data):
+def test_data_that_is_no_event_stream_is_rejected(data):
     framer = EventFramer()
     with pytest.raises(GarbledStreamError):
         framer.feed(data)
         framer.feed(b"\n\n")
 
 
-def test_usage_is_read_from_the_end_of_an_answer():
+def test_usage_is_read_from_the_end_of_a_response():
     tail = b'id: 3\ndata: {"usage": {"prompt_tokens": 7, "completion_tokens": 3}}\n\n'
     usage = read_usage(tail + b"id: 4\ndata: [DONE]\n\n")
     assert (usage.prompt_tokens, usage.completion_tokens) == (7, 3)
