--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -284,11 +284,11 @@
                 return [ToFront(front, self._place(work, now))]
             case JobStages(stages):
                 for stage in stages:
-                    self.scheduler.note_stage(stage, now)
+                    self.scheduler.record_stage(stage, now)
             case ReplicaFailures(upstreams):
-                self.placement.note_inspection([], upstreams, now)
+                self.placement.record_inspection([], upstreams, now)
             case ReplicaPaces(paces):
-                self.placement.note_inspection(paces, [], now)
+                self.placement.record_inspection(paces, [], now)
             case OutcomesSeen(outcomes):
                 return self._take_outcomes(outcomes, now)
             case CrashNews():
@@ -299,7 +299,7 @@
             case LimitNews(limits):
                 self.limits.merge(front, limits, now)
             case RejectionSeen(upstream):
-                self.scheduler.note_rejection(upstream, now)
+                self.scheduler.record_rejection(upstream, now)
             case DrainingHeard(upstreams):
                 news = self.upstreams.note_draining(upstreams, now)
                 return self._tell_upstreams(news)
@@ -311,7 +311,7 @@
                 answer = self.limits.answer(message, now, may_grant=may_grant)
                 return [ToFront(front, answer)]
             case OpenJobs(jobs):
-                self.placement.note_heard(front)
+                self.placement.record_front_report(front)
                 if self.is_leader:
                     self.placement.adopt(jobs, self.table, now)
         return []
@@ -408,11 +408,11 @@
             for endpoint in self.directory.list_usable(service.name)
         }
 
-    def note_inspection(
+    def record_inspection(
         self, paces: list[ReplicaPace], silent: list[UpstreamId], now: float
     ) -> None:
         """Replicas told how slow they are, or did not answer."""
-        self.placement.note_inspection(paces, silent, now)
+        self.placement.record_inspection(paces, silent, now)
 
     def _take_outcomes(
         self, outcomes: list[UpstreamOutcomes], now: float
--- a/src/scalebend/core/gateway/engine_costs.py
+++ b/src/scalebend/core/gateway/engine_costs.py
@@ -1,9 +1,9 @@
-"""How long an engine takes to read a prompt and to play one pass.
+"""Estimates how long an engine takes for a prefill and for one batch step.
 
-An engine works in passes. A pass reads what waits, in even parts of each step, and,
-while any request writes, plays a fixed number of steps; the events of all writers
-come at its end. Reading inside a pass therefore delays every writer's next event.
-All times here are in seconds, all sizes in tokens.
+A batch step runs a fixed number of decode steps while any request decodes, and spreads
+the queued prefill evenly over them. Events of all decoding requests come at its end, so
+prefill in a batch step delays the next event of each of them. All times are in seconds,
+all sizes in tokens.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 _MILLI = 1e-3
 
-QUICK_READ = 0.1
-"""Seconds of reading below which a prompt is never split: the answers of several
-replicas to wait for would cost more than their help saves."""
+MIN_SPLIT_PREFILL_S = 0.1
+"""Prefill time below which a prompt is never split: waiting for several replicas would
+cost more than they save."""
 
 
-def compute_read_time(profile: EngineProfile, tokens: int) -> float:
-    """Time that one engine takes to read a prompt alone.
+def compute_prefill_time(profile: EngineProfile, tokens: int) -> float:
+    """Compute the time that one engine takes for a prefill with nothing else to do.
 
-    Attention looks at each pair of a token and an earlier one, hence the square.
+    Attention compares each token with all earlier ones, hence the square.
     """
     linear = tokens / profile.read_tokens_per_second
     pairs = tokens * tokens / 2.0
     return linear + pairs * profile.pairs_ms_per_million * 1e-6 * _MILLI
 
 
-def compute_pass_time(profile: EngineProfile, contexts: list[int]) -> float:
-    """Time of one pass without reading, with writers of these context sizes."""
+def compute_batch_step_time(profile: EngineProfile, contexts: list[int]) -> float:
+    """Compute the time of one batch step without prefill, for these context sizes."""
     if not contexts:
         return 0.0
     step_ms = profile.step_ms
--- a/src/scalebend/core/gateway/engine_scheduler.py
+++ b/src/scalebend/core/gateway/engine_scheduler.py
@@ -1,10 +1,10 @@
-"""Chooses replicas for prompts of unlike lengths, from an exact list of open jobs.
+"""Chooses replicas for prompts of different lengths, from an exact list of open jobs.
 
-Two promises pull apart: a long prompt should be read by many replicas at once to
-start soon, yet reading delays the next event of whoever writes on the same replica.
-So every choice keeps, on each replica, the reading of one pass below the shortest
-event gap promised there. Short requests share as few replicas as they can; what they
-leave free reads long prompts, in as few parts as the time to first token allows.
+Two aims conflict: splitting the prefill of a long prompt over many replicas brings its
+first token forward, but delays the next event of the jobs that decode on them. On each
+replica, the prefill of one batch step therefore stays below the shortest event gap
+promised there. Short requests are packed on as few replicas as possible; the others
+prefill long prompts, in as few parts as the time to first token allows.
 """
 
 from __future__ import annotations
@@ -14,14 +14,17 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import compute_pass_time, compute_read_time
+from scalebend.core.gateway.engine_costs import (
+    compute_batch_step_time,
+    compute_prefill_time,
+)
 from scalebend.core.gateway.placement_choice import (
-    MEMORY_MARGIN,
+    MEMORY_MARGIN_TOKENS,
     Plan,
-    choose,
-    choose_apart,
+    choose_isolated,
+    choose_replicas,
 )
-from scalebend.core.gateway.replica_load import Job, ReplicaLoad, Share
+from scalebend.core.gateway.replica_load import Job, JobPart, ReplicaLoad
 from scalebend.core.gateway.replica_pool import ReplicaPool
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import ServiceName, UpstreamId
@@ -38,63 +41,59 @@
 from scalebend.models.routing import EngineProfile
 from scalebend.utils.fading import FadingMaximum
 
-LONGEST_PART = 1.0
-"""Seconds of reading in one part, if there is a group with such parts. Longer ones keep
-replicas from quick prompts that come meanwhile; 0.25 to 0.4 s cost the prompts over one
-engine's memory their turn (0.947 against 0.956 of the long in time, 30 seeds)."""
+MAX_PART_S = 1.0
+"""Prefill time of one part, if a group with such parts exists. Longer parts keep
+replicas from quick prompts that arrive meanwhile."""
 
-LATENESS = 1.25
-"""Times the predicted time for which a part counts as not read, unless the first token
-is seen before: predictions leave out what arrives later."""
+PREFILL_OVERRUN_FACTOR = 1.25
+"""Times the predicted prefill time for which a part counts as unfinished, unless its
+first token is seen before: predictions leave out later arrivals."""
 
-LOST_JOB = 1.0
-"""Seconds after a job's deadline at which it is forgotten, if its end was not heard."""
+MISSING_END_GRACE_S = 1.0
+"""Time after its deadline at which a job without a reported end is removed."""
 
-REJECTION_MEMORY = 1.0
-"""Seconds for which an engine that turned a request away is used only if no other is
-left. Who turns all away runs nothing, and would be the first choice for each request;
-once in this time one finds out whether it takes requests again."""
+REJECTION_AVOID_S = 1.0
+"""Time for which an engine that rejected a request is used only if no other is left. An
+engine that rejects everything is idle and would be chosen first for each request."""
 
-LONGEST_PART_ALONE = 0.140
-"""The same for a scheduler that does not know of other fronts' jobs: with many small
-parts, two that meet on a replica still stay below a quick request's event gap."""
+UNCOORDINATED_MAX_PART_S = 0.140
+"""Prefill time of one part for an uncoordinated scheduler: two such parts on one
+replica still stay below a quick request's event gap."""
 
-QUICK_SPARE = 12
-"""Slots kept from long prompts beyond the quick requests open lately: about what
-arrives in two thirds of a second. A quarter more than those open, as well, brought 0.91
-instead of 0.95 of the long prompts in time, and no more of the quick ones, 30 seeds."""
+QUICK_SPARE_SLOTS = 12
+"""Slots reserved for quick requests beyond those recently in use: room for what arrives
+in less than a second."""
 
-QUICK_MEMORY = 3.0
-"""Seconds in which the remembered number of quick requests falls to a third."""
+QUICK_DECAY_S = 3.0
+"""Time constant with which the recent number of quick requests decays."""
 
 
 class SchedulerSummary(msgspec.Struct, frozen=True):
-    """Beliefs of a scheduler in a few figures."""
+    """State of a scheduler in a few figures."""
 
     open_jobs: int
-    writing: int
+    decoding: int
     slow: list[UpstreamId]
     suspect: list[UpstreamId]
 
 
 class EngineScheduler:
-    """Open jobs of all fronts, or of this one alone while no leader answers."""
-
-    def __init__(self, salt: str = "", longest_part: float = LONGEST_PART) -> None:
-        """``longest_part`` is the longest reading in one part, in seconds.
+    """Open jobs of all fronts, or of one front while it is uncoordinated."""
 
-        ``salt`` differs between schedulers that do not know of each other's jobs.
+    def __init__(self, salt: str = "", max_part_s: float = MAX_PART_S) -> None:
+        """``max_part_s`` is the longest prefill of one part, in seconds.
 
-        It sets the order in which equal replicas are taken, so that many fronts
-        deciding alone do not all fill the same ones.
+        ``salt`` marks an uncoordinated scheduler, one per front. It sets the order in
+        which equal replicas are chosen, so that uncoordinated fronts do not all fill
+        the same ones.
         """
-        self._is_alone = bool(salt)
+        self._is_uncoordinated = bool(salt)
         self._salt = salt.encode()
-        self._longest_part = longest_part
-        self._quick = FadingMaximum(QUICK_MEMORY)
+        self._max_part_s = max_part_s
+        self._quick = FadingMaximum(QUICK_DECAY_S)
         self._jobs: dict[JobId, Job] = {}
         self._suspects: dict[JobId, Job] = {}
-        """Those of the open jobs under which a replica has ended before."""
+        """Those of the open jobs that are suspect requests."""
 
         self._replicas: dict[UpstreamId, ReplicaLoad] = {}
         self._pools: dict[ServiceName, ReplicaPool] = {}
@@ -106,107 +105,109 @@
 
     # Inputs
 
-    def note_stage(self, stage: JobStage, now: float) -> None:
-        """A front saw a job's first token, or its end."""
+    def record_stage(self, stage: JobStage, now: float) -> None:
+        """Record a job's first token or its end, as its front saw it."""
         job = self._jobs.get(stage.job)
         if job is None:
             return
         if stage.is_ended:
-            self._drop(stage.job)
-        elif not job.is_writing:
-            job.is_writing = True
+            self._remove_job(stage.job)
+        elif not job.is_decoding:
+            job.is_decoding = True
             if stage.load is not None:
-                self._change(job.upstreams[0]).note_load(stage.load, now)
+                self._edit_load(job.upstreams[0]).record_load(stage.load, now)
             for upstream in job.upstreams:
-                share = self._change(upstream).shares.get(stage.job)
-                if share is not None:
-                    share.read_until = now
+                part = self._edit_load(upstream).parts.get(stage.job)
+                if part is not None:
+                    part.prefill_until = now
 
-    def note_failure(self, upstream: UpstreamId, now: float) -> None:
-        """A front could not reach a replica, or it fell silent."""
-        self._change(upstream).note_failure(now)
+    def record_failure(self, upstream: UpstreamId, now: float) -> None:
+        """Record that a replica could not be reached or was unresponsive."""
+        self._edit_load(upstream).record_failure(now)
 
-    def note_rejection(self, upstream: UpstreamId, now: float) -> None:
-        """A replica turned a request away that it had not run."""
-        self.avoid(upstream, now + REJECTION_MEMORY)
+    def record_rejection(self, upstream: UpstreamId, now: float) -> None:
+        """Record that a replica rejected a request without running it."""
+        self.avoid(upstream, now + REJECTION_AVOID_S)
 
     def avoid(self, upstream: UpstreamId, until: float) -> None:
-        """A replica fails, or turns away, what it is sent: use others till then."""
-        self._change(upstream).avoid(until)
+        """Prefer other replicas until the given time."""
+        self._edit_load(upstream).avoid(until)
 
-    def note_pace(self, pace: ReplicaPace, now: float) -> None:
-        """A replica told how slow it is."""
-        self._change(pace.upstream).note_pace(pace.pace, now)
+    def record_pace(self, pace: ReplicaPace, now: float) -> None:
+        """Record the pace that a replica reported."""
+        self._edit_load(pace.upstream).record_pace(pace.pace, now)
 
     def adopt(self, opened: OpenJob, profile: EngineProfile, now: float) -> None:
-        """Learn of a job that another scheduler placed."""
+        """Add a job that another scheduler placed."""
         if opened.work.job in self._jobs:
             return
-        self._put(opened.work, opened.placement, profile, now - opened.age)
+        self._add_job(opened.work, opened.placement, profile, now - opened.age)
         if opened.is_writing:
-            self.note_stage(JobStage(opened.work.job, is_ended=False), now)
+            self.record_stage(JobStage(opened.work.job, is_ended=False), now)
 
     def forget(self, job: JobId) -> None:
-        """A job is not where it was placed."""
-        self._drop(job)
+        """Remove a job that no longer runs where it was placed."""
+        self._remove_job(job)
 
     def forget_front(self, is_of_front: Callable[[JobId], bool]) -> None:
-        """A front is gone, and its jobs with it."""
+        """Remove the jobs of a front that is gone."""
         for job in [job for job in self._jobs if is_of_front(job)]:
-            self._drop(job)
+            self._remove_job(job)
 
     def expire(self, now: float) -> None:
-        """Forget jobs whose end was never heard, and replicas without jobs."""
+        """Remove jobs whose end was never reported."""
         for job in [j for j, known in self._jobs.items() if now > known.forget_at]:
-            self._drop(job)
+            self._remove_job(job)
 
     def retain(self, upstreams: Iterable[UpstreamId]) -> None:
-        """Forget replicas that no longer exist and run nothing."""
+        """Remove replicas that are not in ``upstreams`` and run nothing."""
         kept = set(upstreams)
         for upstream in list(self._replicas):
-            if upstream not in kept and not self._replicas[upstream].shares:
-                self._change(upstream)
+            if upstream not in kept and not self._replicas[upstream].parts:
+                self._edit_load(upstream)
                 del self._replicas[upstream]
 
     def summarise(self, now: float) -> SchedulerSummary:
-        """What is believed now, for the log."""
-        writing = sum(job.is_writing for job in self._jobs.values())
+        """Summarise the state for the log."""
+        decoding = sum(job.is_decoding for job in self._jobs.values())
         return SchedulerSummary(
             len(self._jobs),
-            writing,
-            [u for u, r in self._replicas.items() if r.read_pace(now) > 1.0],
-            [u for u, r in self._replicas.items() if now < r.suspect_until],
+            decoding,
+            [u for u, r in self._replicas.items() if r.get_pace(now) > 1.0],
+            [u for u, r in self._replicas.items() if now < r.avoid_until],
         )
 
     def list_busy(self, now: float, most: int) -> list[BusyReplica]:
-        """The busiest replicas, for schedulers that may have to decide alone."""
+        """List the ``most`` busiest replicas, for uncoordinated schedulers."""
         busy = []
         for upstream, replica in self._replicas.items():
-            reading = 0.0
+            prefill_left = 0.0
             gaps = []
-            for share in replica.shares.values():
-                reading = max(reading, share.read_until - now)
-                if share.is_first:
-                    gaps.append(share.job.work.event_gap)
-            pace = replica.read_pace(now)
-            if reading > 0.0 or gaps or pace > 1.0:
+            for part in replica.parts.values():
+                prefill_left = max(prefill_left, part.prefill_until - now)
+                if part.is_lead:
+                    gaps.append(part.job.work.event_gap)
+            pace = replica.get_pace(now)
+            if prefill_left > 0.0 or gaps or pace > 1.0:
                 gap = min(gaps, default=0.0)
-                told = BusyReplica(upstream, round(reading, 3), len(gaps), gap, pace)
-                busy.append(told)
+                report = BusyReplica(
+                    upstream, round(prefill_left, 3), len(gaps), gap, pace
+                )
+                busy.append(report)
         busy.sort(key=lambda one: (-one.pace, -one.reading, -one.writing))
         return busy[:most]
 
-    def note_busy(self, busy: list[BusyReplica], now: float) -> None:
-        """Another scheduler told which replicas are busy."""
+    def record_busy_replicas(self, busy: list[BusyReplica], now: float) -> None:
+        """Replace the load that another scheduler reported."""
         for upstream, replica in self._replicas.items():
-            if replica.others is not None:
-                self._change(upstream).others = None
+            if replica.reported is not None:
+                self._edit_load(upstream).reported = None
         for one in busy:
-            replica = self._change(one.upstream)
-            replica.others = one
-            replica.others_at = now
+            replica = self._edit_load(one.upstream)
+            replica.reported = one
+            replica.reported_at = now
             if one.pace > 1.0:
-                self.note_pace(ReplicaPace(one.upstream, one.pace), now)
+                self.record_pace(ReplicaPace(one.upstream, one.pace), now)
 
     # Choice
 
@@ -216,11 +217,12 @@
         endpoints: Sequence[Endpoint],
         profile: EngineProfile,
         now: float,
-        closed: Iterable[UpstreamId] = (),
+        in_backoff: Iterable[UpstreamId] = (),
     ) -> Placement | Declined:
-        """Choose replicas and count the job, or say when to come back.
+        """Choose replicas and add the job, or say when to retry.
 
-        A job that is known already is placed anew; none runs on replicas in ``closed``.
+        A job that is already known is placed anew. Replicas in ``in_backoff`` are not
+        used.
         """
         self.forget(work.job)
         pool = self._pools.get(work.service)
@@ -228,86 +230,85 @@
             pool = self._pools[work.service] = ReplicaPool(self._rank)
         pool.refresh(endpoints, profile, self._replicas, now)
         self._quick.note(pool.quick_jobs, now)
-        placement = self._choose(self._plan(work, profile, now, closed), pool)
+        placement = self._choose(self._build_plan(work, profile, now, in_backoff), pool)
         if isinstance(placement, Placement):
-            self._put(work, placement, profile, now)
+            self._add_job(work, placement, profile, now)
         return placement
 
     def _choose(self, plan: Plan, pool: ReplicaPool) -> Placement | Declined:
         if plan.work.is_suspect:
-            # All that ran on a replica that ended come back at once, and the cause is
-            # among them. Packed together like other quick prompts, they met again: by
-            # one day's logs, 84 of 124 requests were lost with two replicas or more.
-            # Apart, the cause ends one that runs little else, and others are answered.
+            # All requests of a crashed replica are retried at once, and the cause is
+            # among them. Packed on one replica, they would be lost together again.
+            # Isolated, the cause crashes a replica that runs little else.
             suspects = self._suspects.values()
-            beside = {upstream for job in suspects for upstream in job.upstreams}
-            placement = choose_apart(plan, pool, beside)
+            with_suspects = {upstream for job in suspects for upstream in job.upstreams}
+            placement = choose_isolated(plan, pool, with_suspects)
             if placement is not None:
                 return placement
-        return choose(plan, pool)
+        return choose_replicas(plan, pool)
 
     def _rank(self, upstream: UpstreamId) -> int:
         return zlib.crc32(self._salt + upstream.encode())
 
-    def _plan(
+    def _build_plan(
         self,
         work: EngineWork,
         profile: EngineProfile,
         now: float,
-        closed: Iterable[UpstreamId] = (),
+        in_backoff: Iterable[UpstreamId] = (),
     ) -> Plan:
         return Plan(
             work,
             profile,
-            compute_read_time(profile, work.prompt_tokens),
-            compute_pass_time(profile, [work.prompt_tokens]),
-            work.prompt_tokens + work.output_tokens + MEMORY_MARGIN,
-            self._longest_part,
-            self._quick.read(now) + QUICK_SPARE,
-            frozenset((*work.excluded, *closed)),
-            self._is_alone,
+            compute_prefill_time(profile, work.prompt_tokens),
+            compute_batch_step_time(profile, [work.prompt_tokens]),
+            work.prompt_tokens + work.output_tokens + MEMORY_MARGIN_TOKENS,
+            self._max_part_s,
+            self._quick.read(now) + QUICK_SPARE_SLOTS,
+            frozenset((*work.excluded, *in_backoff)),
+            self._is_uncoordinated,
         )
 
     # State
 
-    def _put(
+    def _add_job(
         self, work: EngineWork, placement: Placement, profile: EngineProfile, now: float
     ) -> None:
-        read = compute_read_time(profile, work.prompt_tokens)
-        part = read / (1 + len(placement.helpers))
+        prefill_time = compute_prefill_time(profile, work.prompt_tokens)
+        part_time = prefill_time / (1 + len(placement.helpers))
         start = now + placement.start_in
-        reading = placement.first_token_in - placement.start_in
-        first_until = start + LATENESS * reading
-        helper_until = start + LATENESS * part
-        held = sum(helper.tokens for helper in placement.helpers)
-        tokens = work.prompt_tokens + work.output_tokens - held
-        is_whole = not placement.helpers
-        forget_at = now + work.remaining + LOST_JOB
+        lead_time = placement.first_token_in - placement.start_in
+        lead_until = start + PREFILL_OVERRUN_FACTOR * lead_time
+        helper_until = start + PREFILL_OVERRUN_FACTOR * part_time
+        helper_tokens = sum(helper.tokens for helper in placement.helpers)
+        tokens = work.prompt_tokens + work.output_tokens - helper_tokens
+        is_unsplit = not placement.helpers
+        forget_at = now + work.remaining + MISSING_END_GRACE_S
         job = Job(work, placement.upstreams, forget_at)
         self._jobs[work.job] = job
         if work.is_suspect:
             self._suspects[work.job] = job
-        self._change(placement.upstream).shares[work.job] = Share(
-            job, part, tokens, True, is_whole, start, first_until
+        self._edit_load(placement.upstream).parts[work.job] = JobPart(
+            job, part_time, tokens, True, is_unsplit, start, lead_until
         )
         for helper in placement.helpers:
-            self._change(helper.upstream).shares[work.job] = Share(
-                job, part, helper.tokens, False, False, start, helper_until
+            self._edit_load(helper.upstream).parts[work.job] = JobPart(
+                job, part_time, helper.tokens, False, False, start, helper_until
             )
 
-    def _drop(self, name: JobId) -> None:
+    def _remove_job(self, name: JobId) -> None:
         job = self._jobs.pop(name, None)
         if job is None:
             return
         self._suspects.pop(name, None)
         for upstream in job.upstreams:
             if upstream in self._replicas:
-                self._change(upstream).shares.pop(name, None)
+                self._edit_load(upstream).parts.pop(name, None)
 
-    def _change(self, upstream: UpstreamId) -> ReplicaLoad:
-        """What is known of a replica, about to change."""
+    def _edit_load(self, upstream: UpstreamId) -> ReplicaLoad:
+        """Return the load of a replica for an update, and mark its views as stale."""
         for pool in self._pools.values():
-            pool.touch(upstream)
+            pool.mark_stale(upstream)
         load = self._replicas.get(upstream)
         if load is None:
             load = self._replicas[upstream] = ReplicaLoad()
--- a/src/scalebend/core/gateway/engine_view.py
+++ b/src/scalebend/core/gateway/engine_view.py
@@ -1,4 +1,4 @@
-"""What matters of one replica when work is to be placed."""
+"""State of one replica that a placement depends on; times in seconds."""
 
 from __future__ import annotations
 
@@ -9,121 +9,140 @@
 
 from scalebend.models.endpoints import Endpoint
 
-GAP_MARGIN = 0.030
-"""Seconds of an event gap kept free, for delivery and for reading not yet known."""
+EVENT_GAP_MARGIN_S = 0.030
+"""Part of an event gap kept free for delivery and for prefill not yet known."""
 
-QUICK_GAP = 0.25
-"""Seconds; an event gap up to this makes a request quick: one part of a long prompt
-would break it."""
+QUICK_EVENT_GAP_S = 0.25
+"""Event gap up to which a request is quick; one part of a long prompt exceeds it."""
 
 
-class BusyTime(msgspec.Struct, frozen=True):
-    """A time in which a replica reads a long part, in seconds from now."""
+class PrefillInterval(msgspec.Struct, frozen=True):
+    """Interval in which a replica prefills a long part, in seconds from now."""
 
     start: float
     end: float
 
 
 class Occupancy(msgspec.Struct, frozen=True):
-    """What writes on a replica: the same for many of them at any size of the fleet."""
+    """Jobs that decode on a replica; many replicas share equal values."""
 
-    gaps: tuple[float, ...] = ()
-    """Event gaps of the known jobs that write there, in seconds, shortest first."""
+    event_gaps: tuple[float, ...] = ()
+    """Event gaps of the known jobs that decode there, shortest first."""
 
     unknown_jobs: int = 0
-    """Jobs there that this scheduler did not place; nothing is known of their gaps."""
+    """Jobs there that this scheduler did not place; their event gaps are unknown."""
 
-    told_jobs: int = 0
-    """Jobs there that a lost leader told of, those in ``gaps`` included."""
+    reported_jobs: int = 0
+    """Jobs there that a lost leader reported, including those in ``event_gaps``."""
 
-    told_gap: float = 0.0
-    """Shortest event gap of those, in seconds; 0 when there are none."""
+    reported_event_gap: float = 0.0
+    """Shortest event gap of the reported jobs; 0 when there are none."""
 
     is_overdue: bool = False
-    """Whether a first token is missing that should have been seen."""
+    """Whether a first token is overdue."""
 
     @property
     def jobs(self) -> int:
-        """Jobs that write there or are about to."""
-        # Fronts alone all hear of the same jobs, and would all join them.
-        return max(len(self.gaps), self.told_jobs) + self.unknown_jobs
+        """Jobs that decode there or are about to."""
+        # Uncoordinated fronts all receive the same report and would all place there.
+        return max(len(self.event_gaps), self.reported_jobs) + self.unknown_jobs
 
     @property
     def event_gap(self) -> float | None:
-        """Shortest event gap promised there, in seconds."""
-        known = self.gaps[0] if self.gaps else None
-        if not self.told_gap or (known is not None and known <= self.told_gap):
-            return known
-        return self.told_gap
+        """Shortest event gap promised there; ``None`` if none is known."""
+        known_gap = self.event_gaps[0] if self.event_gaps else None
+        if not self.reported_event_gap or (
+            known_gap is not None and known_gap <= self.reported_event_gap
+        ):
+            return known_gap
+        return self.reported_event_gap
 
     @property
     def is_quick(self) -> bool:
-        """Whether one of them must get its events in quick order."""
+        """Whether a quick request decodes there."""
         gap = self.event_gap
-        return gap is not None and gap <= QUICK_GAP
+        return gap is not None and gap <= QUICK_EVENT_GAP_S
 
-    def count_tight(self, event_gap: float) -> int:
-        """Known jobs whose event gap is no longer than ``event_gap``."""
-        return bisect_right(self.gaps, event_gap)
+    def count_jobs_within(self, event_gap: float) -> int:
+        """Count the known jobs whose event gap is at most ``event_gap``."""
+        return bisect_right(self.event_gaps, event_gap)
 
-    def count_loose(self, event_gap: float) -> int:
-        """Jobs whose event gap may be longer, so that long prompts may join them."""
-        told = self.told_jobs if self.told_gap > event_gap else 0
-        return len(self.gaps) - self.count_tight(event_gap) + self.unknown_jobs + told
+    def count_jobs_beyond(self, event_gap: float) -> int:
+        """Count the jobs whose event gap may exceed ``event_gap``.
+
+        Long prompts may join them.
+        """
+        reported = self.reported_jobs if self.reported_event_gap > event_gap else 0
+        return (
+            len(self.event_gaps)
+            - self.count_jobs_within(event_gap)
+            + self.unknown_jobs
+            + reported
+        )
 
 
 IDLE = Occupancy()
 
 
 class EngineView(msgspec.Struct):
-    """What matters of one replica at one moment."""
+    """State of one replica at one moment."""
 
     endpoint: Endpoint
     rank: int
-    """Place in the order in which equal replicas are taken."""
+    """Position in the order in which equal replicas are chosen."""
 
     free_tokens: int
     occupancy: Occupancy = IDLE
     jobs: int = 0
-    """As :attr:`Occupancy.jobs`; it is looked at for each candidate of a choice."""
+    """Copy of :attr:`Occupancy.jobs`, which each choice reads for each candidate."""
+
+    helper_parts: int = 0
+    """Parts of prompts led by other replicas that are prefilled there now."""
 
-    helping: int = 0
-    """Parts of others' prompts that are read there now."""
+    pending_prefill: float = 0.0
+    """Time until all prefill queued there is done."""
 
-    pending: float = 0.0
-    """Seconds until the reading that waits here is done, for whomever."""
+    batch_step_time: float = 0.0
+    """Duration of one batch step without prefill."""
 
-    pass_time: float = 0.0
     pace: float = 1.0
-    busy: tuple[BusyTime, ...] = ()
-    """When long parts are read here, as planned."""
+    """How many times slower than usual the replica works."""
 
-    stable_until: float = math.inf
-    """Until when this view stays true if nothing else is heard of the replica, in
-    seconds of the clock; a view of a replica that reads is true for one moment."""
+    intervals: tuple[PrefillInterval, ...] = ()
+    """Scheduled prefills of long parts."""
 
-    is_reading: bool = False
-    """Whether reading is planned there that is not known to be done."""
+    valid_until: float = math.inf
+    """Clock time until which this view holds if nothing new is recorded about the
+    replica; a view of a replica that prefills holds for one moment only."""
 
-    def compute_part_room(self, start: float) -> float:
-        """Reading that fits in one part from ``start`` on, until the next part here.
+    is_prefilling: bool = False
+    """Whether a prefill is scheduled there that is not known to be done."""
 
-        It stays below the shortest event gap of whoever writes here.
+    def compute_part_headroom(self, start: float) -> float:
+        """Compute the prefill time that fits in one part from ``start`` on.
+
+        It ends before the next scheduled prefill and stays below the shortest event gap
+        of the jobs that decode there.
         """
-        room = math.inf
-        for busy in self.busy:
-            if busy.start <= start < busy.end:
+        headroom = math.inf
+        for interval in self.intervals:
+            if interval.start <= start < interval.end:
                 return 0.0
-            if busy.start > start:
-                room = min(room, busy.start - start)
+            if interval.start > start:
+                headroom = min(headroom, interval.start - start)
         event_gap = self.occupancy.event_gap
         if event_gap is not None:
-            room = min(room, event_gap - GAP_MARGIN - self.pass_time)
-        return room / self.pace
+            headroom = min(
+                headroom, event_gap - EVENT_GAP_MARGIN_S - self.batch_step_time
+            )
+        return headroom / self.pace
+
+    def compute_batch_headroom(self, limit: float) -> float:
+        """Compute the prefill time that may join the pending prefill within ``limit``.
 
-    def compute_room(self, limit: float) -> float:
-        """Reading that may join what waits without delaying a writer beyond its gap."""
+        It delays no decoding job beyond its event gap.
+        """
         event_gap = self.occupancy.event_gap
         if event_gap is not None:
-            limit = min(limit, event_gap - GAP_MARGIN)
-        return (limit - self.pass_time - self.pending) / self.pace
+            limit = min(limit, event_gap - EVENT_GAP_MARGIN_S)
+        return (limit - self.batch_step_time - self.pending_prefill) / self.pace
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -10,7 +10,7 @@
 from scalebend.core.crash_ledger import CrashLedger
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.engine_scheduler import (
-    LONGEST_PART_ALONE,
+    UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
 from scalebend.core.gateway.front_jobs import FrontJobs
@@ -37,7 +37,7 @@
     SentAlone,
     Subscribe,
 )
-from scalebend.core.gateway.placement_choice import NO_REPLICA_PAUSE
+from scalebend.core.gateway.placement_choice import NO_REPLICA_RETRY_S
 from scalebend.core.gateway.retry_window import RetryWindow
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_store import RoutingNews, apply_news
@@ -126,7 +126,7 @@
         self.retries = RetryWindow(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
-        self.scheduler = EngineScheduler(settings.instance, LONGEST_PART_ALONE)
+        self.scheduler = EngineScheduler(settings.instance, UNCOORDINATED_MAX_PART_S)
         self._seeds = {InstanceId(seed) for seed in settings.seeds}
         self._told: set[InstanceId] = set()
         self.leader: InstanceId | None = None
@@ -290,7 +290,7 @@
         is_known = news.leader == self.leader and news.term == self._term
         self._term = news.term
         if news.busy:
-            self.scheduler.note_busy(news.busy, now)
+            self.scheduler.record_busy_replicas(news.busy, now)
         if is_known or news.leader not in self._linked:
             return []
         logger.info("leader found", leader=news.leader, term=news.term, source=sender)
@@ -353,7 +353,7 @@
         """Place a job from what this front knows alone."""
         profile = self.table.find_engine(work.service)
         if profile is None:
-            return Declined(NO_REPLICA_PAUSE)
+            return Declined(NO_REPLICA_RETRY_S)
         endpoints = self.directory.list_usable(work.service)
         return self.limits.placement.place(
             self.scheduler, work, endpoints, profile, now
@@ -413,9 +413,9 @@
             *self._tell_leader(OpenJobs([opened])),
         ]
 
-    def note_stage(self, stage: JobStage, now: float) -> list[ToControl]:
+    def record_stage(self, stage: JobStage, now: float) -> list[ToControl]:
         """A job's first token was seen, or it ended."""
-        self._jobs.note_stage(stage, now)
+        self._jobs.record_stage(stage, now)
         return self._tell_leader(JobStages([stage]))
 
     def note_outcome(self, upstream: UpstreamId, *, has_failed: bool) -> None:
@@ -498,22 +498,22 @@
         self.balancer.note_ejected(upstreams)
         for upstream in upstreams:
             # For the time in which this front may have to place alone.
-            self.scheduler.note_failure(upstream, now)
+            self.scheduler.record_failure(upstream, now)
 
-    def note_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
+    def record_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """A replica could not be reached, or fell silent."""
-        self.scheduler.note_failure(upstream, now)
+        self.scheduler.record_failure(upstream, now)
         return self._tell_leader(ReplicaFailures([upstream]))
 
-    def note_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
+    def record_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """An engine turned a request away that it had not run."""
-        self.scheduler.note_rejection(upstream, now)
+        self.scheduler.record_rejection(upstream, now)
         return self._tell_leader(RejectionSeen(upstream))
 
     def note_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
         """Replicas told how slow they are."""
         for pace in paces:
-            self.scheduler.note_pace(pace, now)
+            self.scheduler.record_pace(pace, now)
         return self._tell_leader(ReplicaPaces(paces)) if paces else []
 
     def _tell_leader(self, message: LinkMessage) -> list[ToControl]:
--- a/src/scalebend/core/gateway/front_jobs.py
+++ b/src/scalebend/core/gateway/front_jobs.py
@@ -61,13 +61,13 @@
         opened = msgspec.structs.replace(self._jobs[job], placement=placement)
         self._jobs[job] = opened
         aged = msgspec.structs.replace(opened, age=now - self._placed_at[job])
-        self._scheduler.note_stage(JobStage(job, is_ended=True), now)
+        self._scheduler.record_stage(JobStage(job, is_ended=True), now)
         self.adopt(aged, profile, now)
         return aged
 
-    def note_stage(self, stage: JobStage, now: float) -> None:
+    def record_stage(self, stage: JobStage, now: float) -> None:
         """A job's first token was seen, or it ended."""
-        self._scheduler.note_stage(stage, now)
+        self._scheduler.record_stage(stage, now)
         opened = self._jobs.get(stage.job)
         if stage.is_ended:
             self._jobs.pop(stage.job, None)
--- a/src/scalebend/core/gateway/leader_placement.py
+++ b/src/scalebend/core/gateway/leader_placement.py
@@ -1,7 +1,7 @@
-"""Places engine work for all fronts, from an exact list of what is open.
+"""Places engine work for all fronts, from an exact list of open jobs.
 
-The list belongs to one term: whoever begins to lead learns it anew from the fronts, and
-places nothing before it was told, or waited for it a little.
+The list belongs to one term: a new leader learns it from the fronts, and places nothing
+until all fronts have reported or a short timeout has passed.
 """
 
 from __future__ import annotations
@@ -26,56 +26,61 @@
 
 logger = structlog.get_logger(__name__)
 
-LEARNING_TIME = 0.15
-"""Seconds for which a new leader waits for the open jobs of all fronts before it places
-any: fronts hear of it within a tick and answer at once; one that is silent holds nobody
-up for longer. Meanwhile fronts place alone."""
+LEARNING_TIMEOUT_S = 0.15
+"""Time for which a new leader waits for the open jobs of all fronts before it places
+any. Meanwhile fronts are uncoordinated."""
 
 
 class LeaderPlacement:
-    """What one control instance knows of open jobs, which is of use while it leads."""
+    """Open jobs that one control instance knows; used while it leads."""
 
     def __init__(self, limits: LimitExchange, now: float) -> None:
         self.scheduler = EngineScheduler()
         self._limits = limits
-        self._unheard: set[InstanceId] = set()
-        self._learns_until = now
+        self._unreported: set[InstanceId] = set()
+        self._learning_until = now
 
     def start_term(self, fronts: Iterable[InstanceId], now: float) -> None:
-        """This instance begins to lead, or ceases to: ``fronts`` tell what is open."""
+        """Begin or end leading; ``fronts`` are expected to report their open jobs."""
         self.scheduler = EngineScheduler()
         self._limits.start_term(now)
-        self._unheard = set(fronts)
-        self._learns_until = now + LEARNING_TIME
+        self._unreported = set(fronts)
+        self._learning_until = now + LEARNING_TIMEOUT_S
 
     def is_learning(self, now: float) -> bool:
-        """Whether fronts may have jobs open that are not known yet."""
-        return bool(self._unheard) and now < self._learns_until
+        """Whether fronts may have open jobs that are not known yet."""
+        return bool(self._unreported) and now < self._learning_until
 
     def remove_front(self, front: InstanceId) -> None:
-        """The link to a front was lost: if it runs, it tells its jobs anew."""
-        self._unheard.discard(front)
+        """Remove a front whose link was lost.
+
+        It reports its jobs anew if it still runs.
+        """
+        self._unreported.discard(front)
         self.scheduler.forget_front(lambda job: is_job_of(front, job))
 
-    def note_heard(self, front: InstanceId) -> None:
-        """A front has told all jobs that it has open."""
-        self._unheard.discard(front)
+    def record_front_report(self, front: InstanceId) -> None:
+        """Record that a front has reported all its open jobs."""
+        self._unreported.discard(front)
 
     def adopt(self, jobs: Iterable[OpenJob], table: RouteTable, now: float) -> None:
-        """Learn of jobs that others placed."""
+        """Add jobs that others placed."""
         for job in jobs:
             profile = table.find_engine(job.work.service)
             if profile is not None:
                 self.scheduler.adopt(job, profile, now)
 
-    def note_inspection(
-        self, paces: Iterable[ReplicaPace], silent: Iterable[UpstreamId], now: float
+    def record_inspection(
+        self,
+        paces: Iterable[ReplicaPace],
+        unresponsive: Iterable[UpstreamId],
+        now: float,
     ) -> None:
-        """Replicas told how slow they are, or did not answer."""
+        """Record the paces that replicas reported, and those that were unresponsive."""
         for pace in paces:
-            self.scheduler.note_pace(pace, now)
-        for upstream in silent:
-            self.scheduler.note_failure(upstream, now)
+            self.scheduler.record_pace(pace, now)
+        for upstream in unresponsive:
+            self.scheduler.record_failure(upstream, now)
 
     def place(
         self,
@@ -86,7 +91,7 @@
         *,
         may_grant: bool,
     ) -> PlaceAnswer:
-        """Choose replicas; limited ones are left out unless it ``may_grant``."""
+        """Choose replicas; rate-limited ones are left out unless it ``may_grant``."""
         profile = table.find_engine(work.service)
         if profile is None or self.is_learning(now):
             return PlaceAnswer(work.job)
@@ -99,12 +104,12 @@
         return PlaceAnswer(work.job, placed)
 
     def log_summary(self, fronts: int, now: float) -> None:
-        """Write what is believed of the engines to the log."""
+        """Log the scheduler's state."""
         summary = self.scheduler.summarise(now)
         logger.info(
             "engine beliefs",
             open=summary.open_jobs,
-            writing=summary.writing,
+            writing=summary.decoding,
             slow=summary.slow,
             suspect=summary.suspect,
             fronts=fronts,
--- a/src/scalebend/core/gateway/limited_placement.py
+++ b/src/scalebend/core/gateway/limited_placement.py
@@ -11,17 +11,20 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import QUICK_READ, compute_read_time
+from scalebend.core.gateway.engine_costs import (
+    MIN_SPLIT_PREFILL_S,
+    compute_prefill_time,
+)
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.patience import PATIENT_PART
-from scalebend.core.gateway.placement_turn import REPLAN_PERIOD
+from scalebend.core.gateway.placement_aging import REPLAN_PERIOD_S
 from scalebend.core.send_budget import SendBudget
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 from scalebend.models.routing import EngineProfile
 
-LONGEST_WAIT = REPLAN_PERIOD
+LONGEST_WAIT = REPLAN_PERIOD_S
 """Seconds for which a prompt waits for room: after this it would ask again, and lose
 its place to those that came later."""
 
@@ -48,7 +51,9 @@
             return scheduler.place(work, endpoints, profile, now)
         self._forget(work.job, now)
         closed = self._budget.list_closed(now)
-        is_quick = compute_read_time(profile, work.prompt_tokens) <= QUICK_READ
+        is_quick = (
+            compute_prefill_time(profile, work.prompt_tokens) <= MIN_SPLIT_PREFILL_S
+        )
         spared = closed if is_quick else limited
         placed = scheduler.place(work, endpoints, profile, now, spared)
         if isinstance(placed, Declined) and not is_quick:
--- a/src/scalebend/core/gateway/placement_choice.py
+++ b/src/scalebend/core/gateway/placement_choice.py
@@ -1,8 +1,9 @@
-"""Chooses replicas for one piece of work.
+"""Chooses the replicas for one piece of work.
 
-A prompt goes to one replica if there is one that reads it in time, the fullest such
-one; else to the group that ends the reading first, now or after parts that are planned;
-if even that is late, to few replicas that nobody uses, or back to its caller.
+A prompt goes to a single replica if one can prefill it on time, and then to the most
+occupied such replica. Otherwise it goes to the prefill group that finishes first, now
+or in a gap between prefills that are already scheduled. If even that is late, the
+prompt runs on a few idle replicas or is declined.
 """
 
 from __future__ import annotations
@@ -14,246 +15,262 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import QUICK_READ
+from scalebend.core.gateway.engine_costs import MIN_SPLIT_PREFILL_S
 from scalebend.core.gateway.engine_view import IDLE, EngineView, Occupancy
 from scalebend.core.gateway.replica_pool import ReplicaPool
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Declined, EngineWork, Helper, Placement
 from scalebend.models.routing import EngineProfile
 
-MOST_HELPERS = 16
-"""Replicas beside the first that may read one prompt; the platform's limit."""
+MAX_HELPERS = 16
+"""Prefill helpers that one prompt may have; a limit of the platform."""
 
-TARGET_PART = 0.6
-"""Part of the target for the first token that a placement may plan to use."""
+TARGET_SHARE = 0.6
+"""Share of the target for the first token that a placement may plan to use."""
 
-PART_COST = 0.015
-PART_COST_ALONE = 0.080
-"""Seconds by which a group must end sooner to be worth one more replica; more for
-schedulers that do not see each other's choices, whose groups would meet."""
+REPLICA_COST_S = 0.015
+UNCOORDINATED_REPLICA_COST_S = 0.080
+"""Seconds by which each further replica must bring the end of the prefill forward;
+larger for uncoordinated schedulers, whose large groups would overlap."""
 
-DISTURBANCE = 0.05
-"""Seconds by which a group must end sooner to be worth each second by which it delays
-the events of one who writes."""
+DECODE_DELAY_WEIGHT = 0.05
+"""Seconds that a group's prefill must gain for each second by which it delays a
+decoding job."""
 
-MOST_STARTS = 24
-"""Starts that are looked at for one group: far more parts than wait in a busy fleet."""
+MAX_GROUP_STARTS = 24
+"""Start times that are tried for one group."""
 
-MOST_CANDIDATES = 64
-"""Replicas that are looked at for one group where few are idle: nearly four times as
-many as a group may have, so that those left out would hardly be taken."""
+MAX_GROUP_CANDIDATES = 64
+"""Replicas that are considered for one group when few are idle."""
 
-MOST_ALIKE = 4
-"""Replicas with the same occupancy that are looked at when nothing is in time: they
-differ only by the sizes of what they write, some milliseconds."""
+MAX_PER_OCCUPANCY = 4
+"""Replicas of the same occupancy that are considered when none is on time."""
 
-MEMORY_MARGIN = 4_000
-"""Tokens of an engine's memory that are never planned for."""
+MEMORY_MARGIN_TOKENS = 4_000
+"""KV cache memory of an engine that is never planned for."""
 
-SINGLE_READ = 0.4
-"""Seconds of reading up to which one replica is tried before several: one part then
-stays below the event gap of whoever writes long answers."""
+MAX_UNSPLIT_PREFILL_S = 0.4
+"""Prefill time up to which a single replica is tried before a group: one part then
+stays below the event gap of long responses."""
 
 PREDICTION_SLACK = 1.5
-"""Times the target up to which a predicted first token may still turn out in time:
-predictions count each part that is not read yet as a quarter longer, and prompts that
-wait ask again. With 1.0, 20 of 435 long prompts were declined, with 1.5 only 11."""
+"""Times the target up to which a predicted first token may still turn out on time:
+predictions are conservative, and queued prompts are placed again."""
 
-LATE_READ_MOST = 6.0
-"""Seconds of reading of one engine up to which a prompt is read though it will be late.
-Longer ones hold so many replicas that a burst of quick prompts finds no place: without
-this bound 0.987 instead of 0.994 of the quick worth, 30 seeds."""
+MAX_LATE_PREFILL_S = 6.0
+"""Prefill time on one engine up to which a prompt runs although it will be late. Longer
+ones would hold so many replicas that a burst of quick prompts finds none free."""
 
-LATE_DEADLINE = 0.7
-"""Part of the time left that the reading of a late prompt may take; the rest is for its
-answer and for what comes between."""
+LATE_PREFILL_SHARE = 0.7
+"""Share of the remaining time that the prefill of a late prompt may take; the rest is
+for decoding and for delays."""
 
-RANKS = 2**32
-"""Ranks of replicas are below this."""
+RANK_COUNT = 2**32
+"""Exclusive upper bound of replica ranks."""
 
-NO_REPLICA_PAUSE = 0.25
-MEMORY_PAUSE = 0.5
-LEAST_PAUSE = 0.3
-LONGEST_PAUSE = 2.0
-"""Seconds after which a declined request may come back: no replica known, no memory,
-and least and longest where it would be late, by as much as it would be late."""
+NO_REPLICA_RETRY_S = 0.25
+NO_MEMORY_RETRY_S = 0.5
+MIN_LATE_RETRY_S = 0.3
+MAX_LATE_RETRY_S = 2.0
+"""`Retry-After` of a declined request: no replica is known, no memory is free, or it
+would be late, where it follows the predicted lateness between these bounds."""
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One piece of work with what follows from it alone."""
+    """One piece of work and what is computed from it alone; times in seconds."""
 
     work: EngineWork
     profile: EngineProfile
-    read: float
-    """Seconds that one engine takes to read the prompt."""
+    prefill_time: float
+    """Time that one engine takes for the whole prefill."""
 
-    first_event: float
-    """Seconds from the end of reading to the first event."""
+    first_event_delay: float
+    """Time from the end of the prefill to the first event."""
 
-    memory: int
-    """Tokens of memory that the prompt and its answer need, with a margin."""
+    memory_tokens: int
+    """KV cache memory for the prompt and its response, with a margin."""
 
-    longest_part: float
-    """Seconds of reading in one part where replicas are free."""
+    max_part_s: float
+    """Longest prefill of one part while replicas are free."""
 
-    quick_slots: float
-    """Slots that are kept for quick requests."""
+    reserved_quick_slots: float
+    """Slots that are reserved for quick requests."""
 
     excluded: frozenset[UpstreamId] = frozenset()
-    """Replicas that must not be used for it."""
+    """Replicas that must not be used."""
 
-    is_alone: bool = False
-    """Whether others choose at the same time, and do not see each other's choices."""
+    is_uncoordinated: bool = False
+    """Whether other schedulers place at the same time without seeing these choices."""
 
     @property
-    def part_cost(self) -> float:
-        """Seconds by which one more replica must bring the end nearer."""
-        return PART_COST_ALONE if self.is_alone else PART_COST
+    def replica_cost_s(self) -> float:
+        """Seconds by which each further replica must shorten the prefill."""
+        return UNCOORDINATED_REPLICA_COST_S if self.is_uncoordinated else REPLICA_COST_S
 
 
-class _Group(msgspec.Struct, frozen=True):
-    """Replicas that read one prompt together, from ``start`` seconds on."""
+class _PrefillGroup(msgspec.Struct, frozen=True):
+    """Replicas that prefill one prompt together, from ``start`` seconds on."""
 
     views: list[EngineView]
     start: float
     cost: float
-    """When the reading ends, and a little for each replica; in seconds."""
+    """End of the prefill in seconds, plus the costs that rank groups."""
 
 
-def choose(plan: Plan, pool: ReplicaPool) -> Placement | Declined:
-    """Choose replicas for the plan's work, or say when to come back."""
-    if plan.read <= max(QUICK_READ, min(SINGLE_READ, plan.longest_part)):
-        single = choose_in_time(plan, pool)
+def choose_replicas(plan: Plan, pool: ReplicaPool) -> Placement | Declined:
+    """Choose replicas for the plan's work, or say when to retry."""
+    if plan.prefill_time <= max(
+        MIN_SPLIT_PREFILL_S, min(MAX_UNSPLIT_PREFILL_S, plan.max_part_s)
+    ):
+        single = choose_on_time(plan, pool)
         if single is not None:
-            return _place_alone(plan, single)
-    if plan.read <= QUICK_READ:
+            return _place_single(plan, single)
+    if plan.prefill_time <= MIN_SPLIT_PREFILL_S:
         single = _choose_least_wait(plan, pool)
-        return _place_alone(plan, single) if single else Declined(NO_REPLICA_PAUSE)
-    return place_on_idle(plan, pool) or choose_group(plan, pool)
+        return _place_single(plan, single) if single else Declined(NO_REPLICA_RETRY_S)
+    return place_on_idle(plan, pool) or choose_prefill_group(plan, pool)
 
 
-def choose_apart(
-    plan: Plan, pool: ReplicaPool, beside: Iterable[UpstreamId]
+def choose_isolated(
+    plan: Plan, pool: ReplicaPool, with_suspects: Iterable[UpstreamId]
 ) -> Placement | None:
-    """Choose for work that may end its replica: away from others of that kind.
+    """Choose for a suspect request, isolated from other suspect requests.
 
-    ``beside`` are replicas where such work runs. A quick prompt goes to the sound one
-    with the fewest jobs. ``None`` where none is left that would be in time.
+    ``with_suspects`` are replicas that run suspect requests. A quick prompt goes to the
+    healthy replica with the fewest jobs. Returns ``None`` if no other replica is on
+    time.
     """
-    excluded = plan.excluded.union(beside)
-    apart = msgspec.structs.replace(plan, excluded=excluded)
-    sound = _sample_by_jobs(apart, pool)
-    if plan.read <= QUICK_READ:
-        limit = plan.work.target * TARGET_PART
-        for view in sound:
-            if _fits_in_time(apart, view, limit):
-                return _place_alone(apart, view)
+    excluded = plan.excluded.union(with_suspects)
+    isolated = msgspec.structs.replace(plan, excluded=excluded)
+    healthy = _sample_by_jobs(isolated, pool)
+    if plan.prefill_time <= MIN_SPLIT_PREFILL_S:
+        limit = plan.work.target * TARGET_SHARE
+        for view in healthy:
+            if _is_on_time(isolated, view, limit):
+                return _place_single(isolated, view)
         return None
-    if next(sound, None) is None:
+    if next(healthy, None) is None:
         return None
-    placement = choose(apart, pool)
+    placement = choose_replicas(isolated, pool)
     return placement if isinstance(placement, Placement) else None
 
 
-def _place_alone(plan: Plan, view: EngineView) -> Placement:
-    wait = view.pass_time + view.pending + plan.read * view.pace + plan.first_event
-    start = view.pending if plan.read > QUICK_READ else 0.0
+def _place_single(plan: Plan, view: EngineView) -> Placement:
+    wait = (
+        view.batch_step_time
+        + view.pending_prefill
+        + plan.prefill_time * view.pace
+        + plan.first_event_delay
+    )
+    start = view.pending_prefill if plan.prefill_time > MIN_SPLIT_PREFILL_S else 0.0
     endpoint = view.endpoint
     return Placement(endpoint.upstream, endpoint.address, (), wait, start)
 
 
-def _fits_in_time(plan: Plan, view: EngineView, limit: float) -> bool:
+def _is_on_time(plan: Plan, view: EngineView, limit: float) -> bool:
     return (
         view.jobs < plan.profile.slots
-        and view.free_tokens >= plan.memory
-        and view.compute_room(limit) >= plan.read
+        and view.free_tokens >= plan.memory_tokens
+        and view.compute_batch_headroom(limit) >= plan.prefill_time
         and view.endpoint.upstream not in plan.excluded
     )
 
 
-def choose_in_time(plan: Plan, pool: ReplicaPool) -> EngineView | None:
-    """A replica that reads the whole prompt in time; the fullest such one.
+def choose_on_time(plan: Plan, pool: ReplicaPool) -> EngineView | None:
+    """Return the most occupied replica that prefills the whole prompt on time.
 
-    Replicas that write for longer gaps are left to the long prompts.
+    Replicas whose jobs allow longer event gaps are left to long prompts.
     """
-    if plan.is_alone or not pool.has_sound:
-        return choose_in_time_of(plan, pool.list_views(plan.excluded))
+    if plan.is_uncoordinated or not pool.has_healthy:
+        return choose_on_time_from(plan, pool.list_views(plan.excluded))
     gap = plan.work.event_gap
     slots = plan.profile.slots
 
     def rank_occupancy(occupancy: Occupancy) -> tuple[bool, bool, int]:
         return (
             occupancy.is_overdue,
-            occupancy.count_loose(gap) > 0,
-            -occupancy.count_tight(gap),
+            occupancy.count_jobs_beyond(gap) > 0,
+            -occupancy.count_jobs_within(gap),
         )
 
     occupancies = [one for one in pool.list_occupancies() if one.jobs < slots]
     occupancies.sort(key=rank_occupancy)
-    for _, alike in groupby(occupancies, key=rank_occupancy):
-        view = _choose_among_alike(plan, pool, list(alike))
+    for _, equal in groupby(occupancies, key=rank_occupancy):
+        view = _choose_among_equal(plan, pool, list(equal))
         if view is not None:
             return view
     return None
 
 
-def _choose_among_alike(
+def _choose_among_equal(
     plan: Plan, pool: ReplicaPool, occupancies: list[Occupancy]
 ) -> EngineView | None:
-    """The replica with the least to read, of those with equally good occupancies."""
-    limit = plan.work.target * TARGET_PART
-    settled = []
+    """Return the replica with the least pending prefill among equal occupancies."""
+    limit = plan.work.target * TARGET_SHARE
+    without_prefill = []
     for occupancy in occupancies:
-        for view in pool.iterate_settled(occupancy, reverse=True):
-            if _fits_in_time(plan, view, limit):
-                settled.append(view)
+        for view in pool.iterate_without_prefill(occupancy, reverse=True):
+            if _is_on_time(plan, view, limit):
+                without_prefill.append(view)
                 break
-    if settled:
-        return max(settled, key=lambda view: view.rank)
-    reading = chain.from_iterable(pool.iterate_reading(one) for one in occupancies)
-    fitting = [view for view in reading if _fits_in_time(plan, view, limit)]
-    return max(fitting, key=lambda view: (-view.pending, view.rank), default=None)
+    if without_prefill:
+        return max(without_prefill, key=lambda view: view.rank)
+    prefilling = chain.from_iterable(
+        pool.iterate_prefilling(one) for one in occupancies
+    )
+    fitting = [view for view in prefilling if _is_on_time(plan, view, limit)]
+    return max(
+        fitting, key=lambda view: (-view.pending_prefill, view.rank), default=None
+    )
 
 
-def choose_in_time_of(plan: Plan, views: Iterable[EngineView]) -> EngineView | None:
-    """The same choice with a look at each of ``views``."""
-    limit = plan.work.target * TARGET_PART
+def choose_on_time_from(plan: Plan, views: Iterable[EngineView]) -> EngineView | None:
+    """Make the choice of :func:`choose_on_time` by examining each of ``views``."""
+    limit = plan.work.target * TARGET_SHARE
     gap = plan.work.event_gap
-    fitting = [view for view in views if _fits_in_time(plan, view, limit)]
-    answering = [v for v in fitting if not v.occupancy.is_overdue] or fitting
-    alike = [v for v in answering if not v.occupancy.count_loose(gap)] or answering
-    if plan.is_alone:
-        return max(alike, key=lambda view: _compute_pull(plan, view), default=None)
+    fitting = [view for view in views if _is_on_time(plan, view, limit)]
+    not_overdue = [v for v in fitting if not v.occupancy.is_overdue] or fitting
+    equal = [
+        v for v in not_overdue if not v.occupancy.count_jobs_beyond(gap)
+    ] or not_overdue
+    if plan.is_uncoordinated:
+        return max(
+            equal, key=lambda view: _compute_rendezvous_score(plan, view), default=None
+        )
     return max(
-        alike,
-        key=lambda view: (view.occupancy.count_tight(gap), -view.pending, view.rank),
+        equal,
+        key=lambda view: (
+            view.occupancy.count_jobs_within(gap),
+            -view.pending_prefill,
+            view.rank,
+        ),
         default=None,
     )
 
 
-def _compute_pull(plan: Plan, view: EngineView) -> float:
-    """Weighted rendezvous: over all jobs a replica is taken as often as it has free
-    slots.
+def _compute_rendezvous_score(plan: Plan, view: EngineView) -> float:
+    """Compute a weighted rendezvous score, with free slots as the weight.
 
-    Each job draws anew. With one draw for all jobs of a chooser, several in a row went
-    to its favourite until that was full: 0.94 instead of 0.95 of the worth with 81
-    fronts alone for 1.5 s at a time, 0.82 instead of 0.85 in the worst windows.
+    The hash covers the job: with one hash per scheduler, consecutive jobs would all go
+    to the same replica until it is full.
     """
     free = plan.profile.slots - view.jobs
-    drawn = (zlib.crc32(plan.work.job.encode(), view.rank) + 1) / (RANKS + 1)
-    return free / -math.log(drawn)
+    uniform = (zlib.crc32(plan.work.job.encode(), view.rank) + 1) / (RANK_COUNT + 1)
+    return free / -math.log(uniform)
 
 
 def _choose_least_wait(plan: Plan, pool: ReplicaPool) -> EngineView | None:
-    """Nothing is in time: the replica that starts soonest, a full one last."""
+    """Return the replica that starts soonest, full ones last; none is on time."""
     sample = list(_sample_by_jobs(plan, pool)) or pool.list_views(plan.excluded)
-    fitting = [view for view in sample if view.free_tokens >= plan.memory] or sample
+    fitting = [
+        view for view in sample if view.free_tokens >= plan.memory_tokens
+    ] or sample
     slots = plan.profile.slots
     return min(
         fitting,
         key=lambda view: (
             max(0, view.jobs + 1 - slots),
-            view.pass_time + view.pending + plan.read * view.pace,
+            view.batch_step_time + view.pending_prefill + plan.prefill_time * view.pace,
             view.rank,
         ),
         default=None,
@@ -261,92 +278,103 @@
 
 
 def _sample_by_jobs(plan: Plan, pool: ReplicaPool) -> Iterator[EngineView]:
-    """Some replicas of each occupancy, those with a free slot first."""
+    """Yield a few replicas of each occupancy, those with a free slot first."""
     excluded = plan.excluded
-    left = MOST_CANDIDATES
+    left = MAX_GROUP_CANDIDATES
     for occupancy in sorted(pool.list_occupancies(), key=lambda one: one.jobs):
         if left <= 0:
             return
-        settled = pool.iterate_settled(occupancy)
-        found = chain(islice(settled, MOST_ALIKE), pool.iterate_reading(occupancy))
+        without_prefill = pool.iterate_without_prefill(occupancy)
+        found = chain(
+            islice(without_prefill, MAX_PER_OCCUPANCY),
+            pool.iterate_prefilling(occupancy),
+        )
         for view in islice(found, left):
             left -= 1
             if view.endpoint.upstream not in excluded:
                 yield view
 
 
-def _count_kept(plan: Plan, pool: ReplicaPool) -> int:
-    """Idle replicas that are kept, so that quick requests find a place whatever long
-    ones do."""
-    wanted = math.ceil(plan.quick_slots / plan.profile.slots)
-    return max(0, wanted - pool.quick_replicas)
+def _count_reserved_idle(plan: Plan, pool: ReplicaPool) -> int:
+    """Count the idle replicas to reserve for quick requests."""
+    needed_replicas = math.ceil(plan.reserved_quick_slots / plan.profile.slots)
+    return max(0, needed_replicas - pool.quick_replicas)
 
 
 def place_on_idle(plan: Plan, pool: ReplicaPool) -> Placement | None:
-    """Read it on replicas that do nothing, if there are as many as it may use."""
-    most = MOST_HELPERS + 1
-    if pool.count_settled(IDLE) - _count_kept(plan, pool) < most:
+    """Place the prompt on idle replicas if there are as many as it may use."""
+    max_replicas = MAX_HELPERS + 1
+    if (
+        pool.count_without_prefill(IDLE) - _count_reserved_idle(plan, pool)
+        < max_replicas
+    ):
         return None
     usable = (
         view
-        for view in pool.iterate_settled(IDLE)
-        if view.helping < plan.profile.slots
+        for view in pool.iterate_without_prefill(IDLE)
+        if view.helper_parts < plan.profile.slots
         and view.endpoint.upstream not in plan.excluded
     )
-    views = list(islice(usable, most))
-    counts = [n for n in range(1, most + 1) if plan.read / n <= plan.longest_part]
-    if len(views) < most or not counts:
+    views = list(islice(usable, max_replicas))
+    counts = [
+        n
+        for n in range(1, max_replicas + 1)
+        if plan.prefill_time / n <= plan.max_part_s
+    ]
+    if len(views) < max_replicas or not counts:
         return None
-    count = min(counts, key=lambda n: plan.read / n + plan.part_cost * n)
-    placement = _build_group(plan, _Group(views[:count], 0.0, 0.0))
+    count = min(counts, key=lambda n: plan.prefill_time / n + plan.replica_cost_s * n)
+    placement = _build_placement(plan, _PrefillGroup(views[:count], 0.0, 0.0))
     if placement is None or placement.first_token_in > plan.work.target:
         return None
     return placement
 
 
-def choose_group(plan: Plan, pool: ReplicaPool) -> Placement | Declined:
-    """The replicas and the time with which the prompt is read first."""
+def choose_prefill_group(plan: Plan, pool: ReplicaPool) -> Placement | Declined:
+    """Choose the prefill group and the start time with which the prefill ends first."""
     views = _sample_for_group(plan, pool) or pool.list_views(plan.excluded)
     if not views:
-        return Declined(NO_REPLICA_PAUSE)
-    candidates = _list_for_group(plan, pool, views)
+        return Declined(NO_REPLICA_RETRY_S)
+    candidates = _list_candidates(plan, pool, views)
     placement = _place_first_possible(plan, _list_groups(plan, candidates, views))
     if placement is None:
-        return Declined(MEMORY_PAUSE)
+        return Declined(NO_MEMORY_RETRY_S)
     if placement.first_token_in <= plan.work.target * PREDICTION_SLACK:
         return placement
     return _place_late(plan, candidates, placement)
 
 
 def _sample_for_group(plan: Plan, pool: ReplicaPool) -> list[EngineView]:
-    """Replicas to look at: where nobody writes first, and quick requests' last."""
+    """List replicas to consider: the fewest jobs first, those with quick jobs last."""
     occupancies = pool.list_occupancies()
     occupancies.sort(key=lambda one: (one.is_quick, one.jobs))
     views = chain.from_iterable(map(pool.iterate_views, occupancies))
     excluded = plan.excluded
     usable = (view for view in views if view.endpoint.upstream not in excluded)
-    return list(islice(usable, MOST_CANDIDATES))
+    return list(islice(usable, MAX_GROUP_CANDIDATES))
 
 
 def _list_groups(
     plan: Plan, candidates: list[EngineView], views: list[EngineView]
-) -> Iterator[_Group | None]:
-    """Groups to try, the best first: replicas together may lack the memory."""
+) -> Iterator[_PrefillGroup | None]:
+    """Yield groups to try, best first: a group may turn out to lack memory."""
     yield (
-        _find_earliest_end(plan, candidates, plan.longest_part)
+        _find_earliest_end(plan, candidates, plan.max_part_s)
         or _find_earliest_end(plan, candidates, math.inf)
     )
-    with_memory = [view for view in candidates if view.free_tokens >= plan.memory]
+    with_memory = [
+        view for view in candidates if view.free_tokens >= plan.memory_tokens
+    ]
     yield _find_earliest_end(plan, with_memory, math.inf)
     yield _choose_least_pending(plan, candidates)
     yield _choose_least_pending(plan, views)
 
 
 def _place_first_possible(
-    plan: Plan, groups: Iterator[_Group | None]
+    plan: Plan, groups: Iterator[_PrefillGroup | None]
 ) -> Placement | None:
     for group in groups:
-        placement = _build_group(plan, group) if group is not None else None
+        placement = _build_placement(plan, group) if group is not None else None
         if placement is not None:
             return placement
     return None
@@ -355,122 +383,143 @@
 def _place_late(
     plan: Plan, candidates: list[EngineView], placement: Placement
 ) -> Placement | Declined:
-    """It cannot be in time: read it where it takes the least from those that can.
+    """Place a prompt that cannot be on time, or decline it.
 
-    Few replicas that nobody uses now leave the others free; a late answer is worth the
-    same at any time before its deadline.
+    It runs on a few idle replicas so that the others stay free: a late response is worth
+    the same at any time before its deadline.
     """
     late_by = placement.first_token_in - plan.work.target
-    declined = Declined(max(LEAST_PAUSE, min(late_by, LONGEST_PAUSE)))
-    if plan.read > LATE_READ_MOST:
+    declined = Declined(max(MIN_LATE_RETRY_S, min(late_by, MAX_LATE_RETRY_S)))
+    if plan.prefill_time > MAX_LATE_PREFILL_S:
         return declined
-    latest = plan.work.remaining * LATE_DEADLINE
-    idle = [v for v in candidates if v.occupancy.event_gap is None and not v.busy]
-    for count in range(1, min(len(idle), MOST_HELPERS + 1) + 1):
-        if plan.read / count <= latest:
-            late = _build_group(plan, _Group(idle[:count], 0.0, 0.0))
+    max_wait = plan.work.remaining * LATE_PREFILL_SHARE
+    idle = [v for v in candidates if v.occupancy.event_gap is None and not v.intervals]
+    for count in range(1, min(len(idle), MAX_HELPERS + 1) + 1):
+        if plan.prefill_time / count <= max_wait:
+            late = _build_placement(plan, _PrefillGroup(idle[:count], 0.0, 0.0))
             if late is not None:
                 return late
-    if placement.first_token_in <= latest:
+    if placement.first_token_in <= max_wait:
         return placement
     return declined
 
 
-def _list_for_group(
+def _list_candidates(
     plan: Plan, pool: ReplicaPool, views: list[EngineView]
 ) -> list[EngineView]:
-    """Replicas of ``views`` that may read a part, in the order of rank."""
+    """List the replicas of ``views`` that may prefill a part, by rank."""
     slots = plan.profile.slots
-    usable = [view for view in views if view.jobs < slots > view.helping]
+    usable = [view for view in views if view.jobs < slots > view.helper_parts]
     ranked = sorted(usable or views, key=lambda view: view.rank)
-    # Those that are not looked at are left to quick requests in any case.
-    kept = _count_kept(plan, pool) - pool.count_others_than_quick(beside=views)
-    # Quick requests open idle replicas from the other end of the rank.
+    # Replicas outside ``views`` are not used by the group and count as reserved.
+    reserved = _count_reserved_idle(plan, pool) - pool.count_without_quick(
+        apart_from=views
+    )
+    # Quick requests take idle replicas from the other end of the rank order.
     others = [view for view in reversed(ranked) if not view.occupancy.is_quick]
-    others.sort(key=lambda view: (view.pending, view.jobs))
-    left_out = others[: max(0, min(kept, len(others) - 1))]
-    names = {view.endpoint.upstream for view in left_out}
-    return [view for view in ranked if view.endpoint.upstream not in names]
+    others.sort(key=lambda view: (view.pending_prefill, view.jobs))
+    left_out = others[: max(0, min(reserved, len(others) - 1))]
+    left_out_names = {view.endpoint.upstream for view in left_out}
+    return [view for view in ranked if view.endpoint.upstream not in left_out_names]
 
 
 def _find_earliest_end(
-    plan: Plan, candidates: list[EngineView], longest_part: float
-) -> _Group | None:
-    """The group that ends first, a little later if it needs fewer replicas.
+    plan: Plan, candidates: list[EngineView], max_part_s: float
+) -> _PrefillGroup | None:
+    """Return the group with the lowest cost: an early end with few replicas.
 
-    Groups start where a replica's earlier part ends, also in the time left before parts
-    that were planned already, which keep their turns (conservative backfilling).
+    A group may start whenever a scheduled prefill ends, including in gaps before later
+    scheduled prefills, which keep their start times (conservative backfilling).
     """
-    # Those where nobody writes first, and quick requests' replicas last.
+    # Replicas with the fewest jobs first, those with quick jobs last.
     ranked = sorted(candidates, key=lambda view: (view.occupancy.is_quick, view.jobs))
-    # Rounded up: a moment earlier, the replica would still be busy.
-    ends = {math.ceil(1e3 * b.end) / 1e3 for view in candidates for b in view.busy}
-    best: _Group | None = None
-    for start in sorted({0.0, *ends})[:MOST_STARTS]:
+    # Rounded up to a millisecond: just before, the replica would still be busy.
+    ends = {math.ceil(1e3 * b.end) / 1e3 for view in candidates for b in view.intervals}
+    best: _PrefillGroup | None = None
+    for start in sorted({0.0, *ends})[:MAX_GROUP_STARTS]:
         if best is not None and start >= best.cost:
             break
-        rooms = [view.compute_part_room(start) for view in ranked]
-        largest = sorted(rooms, reverse=True)
-        for count in range(1, min(len(rooms), MOST_HELPERS + 1) + 1):
-            part = plan.read / count
-            if largest[count - 1] < part or part > longest_part:
+        headrooms = [view.compute_part_headroom(start) for view in ranked]
+        largest = sorted(headrooms, reverse=True)
+        for count in range(1, min(len(headrooms), MAX_HELPERS + 1) + 1):
+            part = plan.prefill_time / count
+            if largest[count - 1] < part or part > max_part_s:
                 continue
-            group = _take_fitting(plan, ranked, rooms, start, count)
+            group = _build_candidate_group(plan, ranked, headrooms, start, count)
             if best is None or group.cost < best.cost:
                 best = group
     return best
 
 
-def _take_fitting(
-    plan: Plan, ranked: list[EngineView], rooms: list[float], start: float, count: int
-) -> _Group:
-    """The first replicas with room for a part, and what the group costs."""
-    part = plan.read / count
-    fitting = [view for view, room in zip(ranked, rooms, strict=True) if room >= part]
+def _build_candidate_group(
+    plan: Plan,
+    ranked: list[EngineView],
+    headrooms: list[float],
+    start: float,
+    count: int,
+) -> _PrefillGroup:
+    """Build the group of the first replicas with headroom for a part, with its cost."""
+    part = plan.prefill_time / count
+    fitting = [
+        view
+        for view, headroom in zip(ranked, headrooms, strict=True)
+        if headroom >= part
+    ]
     chosen = fitting[:count]
-    disturbed = sum(view.jobs for view in chosen)
-    cost = start + part + plan.part_cost * count + DISTURBANCE * part * disturbed
-    return _Group(chosen, start, cost)
+    delayed_jobs = sum(view.jobs for view in chosen)
+    cost = (
+        start
+        + part
+        + plan.replica_cost_s * count
+        + DECODE_DELAY_WEIGHT * part * delayed_jobs
+    )
+    return _PrefillGroup(chosen, start, cost)
 
 
-def _choose_least_pending(plan: Plan, views: list[EngineView]) -> _Group:
-    """No time was found: after all that is planned, where that ends first."""
-    spared = [view for view in views if not view.occupancy.is_quick] or views
-    ranked = sorted(spared, key=lambda view: view.pending + view.pass_time)
-    counts = range(1, min(len(ranked), MOST_HELPERS + 1) + 1)
-    best = min(counts, key=lambda n: ranked[n - 1].pending + plan.read / n)
+def _choose_least_pending(plan: Plan, views: list[EngineView]) -> _PrefillGroup:
+    """Build a group that starts after all scheduled prefills, where those end first."""
+    without_quick = [view for view in views if not view.occupancy.is_quick] or views
+    ranked = sorted(
+        without_quick, key=lambda view: view.pending_prefill + view.batch_step_time
+    )
+    counts = range(1, min(len(ranked), MAX_HELPERS + 1) + 1)
+    best = min(
+        counts, key=lambda n: ranked[n - 1].pending_prefill + plan.prefill_time / n
+    )
     chosen = ranked[:best]
-    start = max(view.pending for view in chosen)
-    return _Group(chosen, start, start + plan.read / best)
+    start = max(view.pending_prefill for view in chosen)
+    return _PrefillGroup(chosen, start, start + plan.prefill_time / best)
 
 
-def _choose_first(plan: Plan, chosen: list[EngineView]) -> EngineView:
-    """The replica that writes: one with the memory, and little to read for others."""
-    fitting = [view for view in chosen if view.free_tokens >= plan.memory]
+def _choose_lead(plan: Plan, chosen: list[EngineView]) -> EngineView:
+    """Choose the lead replica: one with enough memory and the least pending prefill."""
+    fitting = [view for view in chosen if view.free_tokens >= plan.memory_tokens]
     if not fitting:
-        return max(chosen, key=lambda view: (view.free_tokens, -view.pending))
-    return min(fitting, key=lambda v: (v.pending, v.jobs, -v.free_tokens))
+        return max(chosen, key=lambda view: (view.free_tokens, -view.pending_prefill))
+    return min(fitting, key=lambda v: (v.pending_prefill, v.jobs, -v.free_tokens))
 
 
-def _build_group(plan: Plan, group: _Group) -> Placement | None:
+def _build_placement(plan: Plan, group: _PrefillGroup) -> Placement | None:
     chosen = group.views
-    first = _choose_first(plan, chosen)
-    others = [view for view in chosen if view is not first]
-    part = plan.read / len(chosen)
-    # A part that comes later is read first: let none wait on a replica.
+    lead = _choose_lead(plan, chosen)
+    others = [view for view in chosen if view is not lead]
+    part = plan.prefill_time / len(chosen)
+    # An engine prefills the newest part first, so no part may queue on a replica.
     start = group.start
-    wait = start + max(view.pass_time + part * view.pace for view in chosen)
-    missing = plan.memory - first.free_tokens
+    wait = start + max(view.batch_step_time + part * view.pace for view in chosen)
+    missing_tokens = plan.memory_tokens - lead.free_tokens
     helpers = []
     for view in others:
         tokens = 0
-        if missing > 0:
-            tokens = max(0, min(missing, view.free_tokens - MEMORY_MARGIN))
-            missing -= tokens
+        if missing_tokens > 0:
+            tokens = max(
+                0, min(missing_tokens, view.free_tokens - MEMORY_MARGIN_TOKENS)
+            )
+            missing_tokens -= tokens
         endpoint = view.endpoint
         helpers.append(Helper(endpoint.upstream, endpoint.address, tokens))
-    if missing > 0:
+    if missing_tokens > 0:
         return None
-    endpoint = first.endpoint
-    wait += plan.first_event
+    endpoint = lead.endpoint
+    wait += plan.first_event_delay
     return Placement(endpoint.upstream, endpoint.address, tuple(helpers), wait, start)
--- a/src/scalebend/core/gateway/placement_repair.py
+++ b/src/scalebend/core/gateway/placement_repair.py
@@ -1,8 +1,8 @@
-"""Keeps a placement whose turn is near when some of its replicas begin to leave.
+"""Repairs placements whose replicas start to drain before the prefill starts.
 
-Placing anew would send the prompt to the end of the line again, each time that one of
-its many replicas leaves, while the reading that was planned for it leaves a hole on the
-others. So the replicas that stay read what the others would have read.
+Placing the prompt anew would lose its scheduled start each time that a replica drains,
+and leave the scheduled time on the other replicas unused. Instead, the remaining
+replicas take over the prefill.
 """
 
 from __future__ import annotations
@@ -12,33 +12,40 @@
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Helper, Placement
 
-LEAST_LEFT = 0.5
-"""Part of the replicas that must stay: with fewer, parts would be more than twice as
-long as planned, and events of whoever writes there would come late."""
+MIN_REMAINING_SHARE = 0.5
+"""Share of the replicas that must remain: with fewer, parts would be more than twice as
+long as planned and delay the events of decoding jobs."""
 
 
-def drop_replicas(placement: Placement, left: set[UpstreamId]) -> Placement | None:
-    """The placement without the replicas in ``left``; ``None`` to place anew."""
-    if any(helper.tokens for helper in placement.helpers if helper.upstream in left):
-        # Memory was planned there, and nothing here tells who else has it.
+def drop_replicas(placement: Placement, draining: set[UpstreamId]) -> Placement | None:
+    """Return the placement without the ``draining`` replicas.
+
+    Returns ``None`` if the work must be placed anew.
+    """
+    if any(
+        helper.tokens for helper in placement.helpers if helper.upstream in draining
+    ):
+        # KV cache memory was planned there; other free memory is not known here.
         return None
-    staying = [helper for helper in placement.helpers if helper.upstream not in left]
-    first = Helper(placement.upstream, placement.address)
-    if placement.upstream in left:
-        writers = [helper for helper in staying if not helper.tokens]
-        if not writers:
+    remaining = [
+        helper for helper in placement.helpers if helper.upstream not in draining
+    ]
+    lead = Helper(placement.upstream, placement.address)
+    if placement.upstream in draining:
+        leads = [helper for helper in remaining if not helper.tokens]
+        if not leads:
             return None
-        first = writers[0]
-        staying.remove(first)
-    before = 1 + len(placement.helpers)
-    after = 1 + len(staying)
-    if after < LEAST_LEFT * before:
+        lead = leads[0]
+        remaining.remove(lead)
+    count_before = 1 + len(placement.helpers)
+    count_after = 1 + len(remaining)
+    if count_after < MIN_REMAINING_SHARE * count_before:
         return None
-    reading = placement.first_token_in - placement.start_in
+    prefill_time = placement.first_token_in - placement.start_in
     return msgspec.structs.replace(
         placement,
-        upstream=first.upstream,
-        address=first.address,
-        helpers=tuple(staying),
-        first_token_in=placement.start_in + reading * before / after,
+        upstream=lead.upstream,
+        address=lead.address,
+        helpers=tuple(remaining),
+        first_token_in=placement.start_in + prefill_time * count_before / count_after,
     )
--- a/src/scalebend/core/gateway/replica_load.py
+++ b/src/scalebend/core/gateway/replica_load.py
@@ -1,6 +1,6 @@
-"""What one scheduler knows of one replica: its parts of open jobs, and its own words.
+"""Load of one replica as one scheduler knows it, from its open jobs and from reports.
 
-A view of it is built only when something of it changed, or while it reads.
+Views are rebuilt only when the load changed, or while the replica prefills.
 """
 
 from __future__ import annotations
@@ -9,36 +9,36 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import QUICK_READ, compute_pass_time
-from scalebend.core.gateway.engine_view import BusyTime, EngineView, Occupancy
+from scalebend.core.gateway.engine_costs import (
+    MIN_SPLIT_PREFILL_S,
+    compute_batch_step_time,
+)
+from scalebend.core.gateway.engine_view import EngineView, Occupancy, PrefillInterval
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import BusyReplica, EngineWork, JobId
 from scalebend.models.routing import EngineProfile
 
-UNKNOWN_LIFE = 2.0
-"""Seconds for which jobs of others are counted after a replica told of them: about as
-long as a quick answer takes. With five of twelve fronts cut off from the leader, 1.0 s
-brings 0.83 of the quick prompts in time and 2.0 s 0.88, 30 seeds."""
+UNKNOWN_JOBS_TTL_S = 2.0
+"""Time for which jobs of other schedulers count after a replica reported them: about
+the duration of a quick response."""
 
-BUSY_LIFE = 2.0
-"""Seconds for which the load that a lost leader told of is still counted: about the
-time that a quick answer takes."""
+REPORTED_LOAD_TTL_S = 2.0
+"""Time for which load reported by a lost leader counts: about the duration of a quick
+response."""
 
-OVERDUE = 0.0
-"""Seconds after the predicted time of a first token, lateness included, from which a
-replica counts as fuller than is known here: others may have placed there without a
-word. It is avoided while another fits (0.81 -> 0.83 in time, as above)."""
+FIRST_TOKEN_GRACE_S = 0.0
+"""Time after the latest expected first token from which a replica is avoided while
+another fits: other schedulers may have placed jobs there."""
 
-SUSPECT_TIME = 2.0
-"""Seconds for which a replica that failed to connect or fell silent is avoided."""
+AVOID_UNHEALTHY_S = 2.0
+"""Time for which a replica that refused a connection or was unresponsive is avoided."""
 
-SLOW_PACE = 1.5
-"""Times the usual work time from which on a replica is avoided like an unsound one."""
+UNHEALTHY_PACE = 1.5
+"""Pace from which on a replica counts as unhealthy."""
 
-PACE_LIFE = 4.0
-"""Seconds for which a replica's word on its own slowness is believed; then it is tried
-again, and asked again if it is late."""
+PACE_TTL_S = 4.0
+"""Time for which a reported pace counts; then the replica is used again."""
 
 
 class Job(msgspec.Struct):
@@ -47,171 +47,185 @@
     work: EngineWork
     upstreams: list[UpstreamId]
     forget_at: float
-    is_writing: bool = False
+    is_decoding: bool = False
 
 
-class Share(msgspec.Struct):
-    """A job's part on one replica; times in seconds of the clock."""
+class JobPart(msgspec.Struct):
+    """One replica's part of a job; clock times in seconds."""
 
     job: Job
-    part: float
-    """Seconds of reading."""
+    prefill_time: float
+    """Duration of the prefill."""
 
     tokens: int
-    is_first: bool
-    is_whole: bool
-    """Whether one replica reads all of the prompt."""
+    """KV cache memory reserved there."""
 
-    read_from: float
-    read_until: float
+    is_lead: bool
+    is_unsplit: bool
+    """Whether this replica prefills the whole prompt."""
 
-    def is_helping(self, now: float) -> bool:
-        """Whether a part of another replica's job is read there now.
+    prefill_from: float
+    prefill_until: float
 
-        Parts whose turn comes later are not at the replica yet.
+    def is_helper_active(self, now: float) -> bool:
+        """Whether a part of a prompt led by another replica is prefilled there now.
+
+        Parts that start later have not been sent to the replica yet.
         """
-        is_read = self.is_first or self.job.is_writing
-        return not is_read and self.read_from <= now
+        is_lead_or_decoding = self.is_lead or self.job.is_decoding
+        return not is_lead_or_decoding and self.prefill_from <= now
 
 
-class _Reading(msgspec.Struct):
-    """What is to be read on a replica; times in seconds from now, at its usual pace."""
+class _QueuedPrefill(msgspec.Struct):
+    """Prefill queued on a replica; times in seconds from now, at its usual pace."""
 
-    pending: float = 0.0
-    busy: list[BusyTime] = msgspec.field(default_factory=list)
-    is_reading: bool = False
-    """Whether anything is planned that is not known to be read."""
+    pending_prefill: float = 0.0
+    intervals: list[PrefillInterval] = msgspec.field(default_factory=list)
+    is_prefilling: bool = False
+    """Whether a prefill is scheduled that is not known to be done."""
 
     is_overdue: bool = False
-    """Whether a first token is missing that should have been seen."""
+    """Whether a first token is overdue."""
 
 
 class ReplicaLoad(msgspec.Struct):
-    """One replica, as far as a scheduler knows."""
+    """Load and health of one replica as a scheduler knows them."""
 
-    shares: dict[JobId, Share] = msgspec.field(default_factory=dict)
+    parts: dict[JobId, JobPart] = msgspec.field(default_factory=dict)
     pace: float = 1.0
-    """How many times slower than usual it works, by its own word."""
+    """How many times slower than usual the replica works, as it reported."""
+
+    pace_until: float = 0.0
+    """Clock time until which ``pace`` counts."""
 
-    paced_until: float = 0.0
-    suspect_until: float = 0.0
-    others: BusyReplica | None = None
-    """Load that another scheduler told of, while this one decides alone."""
+    avoid_until: float = 0.0
+    reported: BusyReplica | None = None
+    """Load reported by another scheduler, while this one is uncoordinated."""
 
-    others_at: float = 0.0
+    reported_at: float = 0.0
     unknown_jobs: int = 0
     """Requests there that this scheduler did not place, by the replica's own count."""
 
     unknown_until: float = 0.0
 
-    def read_pace(self, now: float) -> float:
-        """The pace, while it is believed."""
-        return self.pace if now < self.paced_until else 1.0
+    def get_pace(self, now: float) -> float:
+        """Return the reported pace while it counts, else 1."""
+        return self.pace if now < self.pace_until else 1.0
+
+    def is_healthy(self, now: float) -> bool:
+        """Whether it responds, at about its usual pace."""
+        return now >= self.avoid_until and self.get_pace(now) < UNHEALTHY_PACE
 
-    def is_sound(self, now: float) -> bool:
-        """Whether it answers, and about as fast as usual."""
-        return now >= self.suspect_until and self.read_pace(now) < SLOW_PACE
+    def record_load(self, load: int, now: float) -> None:
+        """Record the replica's count of its requests.
 
-    def note_load(self, load: int, now: float) -> None:
-        """It counted its requests: those not known here are of other fronts."""
-        known = sum(share.is_first for share in self.shares.values())
+        Those beyond the known jobs come from other fronts.
+        """
+        known = sum(part.is_lead for part in self.parts.values())
         self.unknown_jobs = max(0, load - known)
-        self.unknown_until = now + UNKNOWN_LIFE
+        self.unknown_until = now + UNKNOWN_JOBS_TTL_S
 
-    def note_failure(self, now: float) -> None:
-        """It could not be reached, or fell silent."""
-        self.avoid(now + SUSPECT_TIME)
+    def record_failure(self, now: float) -> None:
+        """Record that the replica could not be reached or was unresponsive."""
+        self.avoid(now + AVOID_UNHEALTHY_S)
 
     def avoid(self, until: float) -> None:
-        """It is to be used only if no other is left."""
-        self.suspect_until = max(self.suspect_until, until)
+        """Use the replica only if no other is left, until the given time."""
+        self.avoid_until = max(self.avoid_until, until)
 
-    def note_pace(self, pace: float, now: float) -> None:
-        """It told how slow it is."""
+    def record_pace(self, pace: float, now: float) -> None:
+        """Record the pace that the replica reported."""
         self.pace = pace
-        self.paced_until = now + PACE_LIFE
+        self.pace_until = now + PACE_TTL_S
 
     def build_view(
         self, endpoint: Endpoint, rank: int, profile: EngineProfile, now: float
     ) -> EngineView:
-        """What matters of it now."""
-        reading = self._sum_reading(now)
-        occupancy = self._find_occupancy(now, is_overdue=reading.is_overdue)
-        held = sum(share.tokens for share in self.shares.values())
-        pace = self.read_pace(now)
+        """Build the view of the replica at ``now``."""
+        queued = self._sum_prefill(now)
+        occupancy = self._find_occupancy(now, is_overdue=queued.is_overdue)
+        reserved_tokens = sum(part.tokens for part in self.parts.values())
+        pace = self.get_pace(now)
         return EngineView(
             endpoint=endpoint,
             rank=rank,
-            free_tokens=profile.memory_tokens - held,
+            free_tokens=profile.memory_tokens - reserved_tokens,
             occupancy=occupancy,
             jobs=occupancy.jobs,
-            helping=sum(share.is_helping(now) for share in self.shares.values()),
-            pending=reading.pending * pace,
-            pass_time=pace * compute_pass_time(profile, self._list_contexts(occupancy)),
+            helper_parts=sum(
+                part.is_helper_active(now) for part in self.parts.values()
+            ),
+            pending_prefill=queued.pending_prefill * pace,
+            batch_step_time=pace
+            * compute_batch_step_time(profile, self._list_contexts(occupancy)),
             pace=pace,
-            busy=tuple(reading.busy),
-            stable_until=self._find_next_change(now),
-            is_reading=reading.is_reading,
+            intervals=tuple(queued.intervals),
+            valid_until=self._find_next_change(now),
+            is_prefilling=queued.is_prefilling,
         )
 
-    def _sum_reading(self, now: float) -> _Reading:
-        """What is to be read there, by this scheduler's word and by others'."""
-        reading = _Reading()
-        quick = 0.0
-        for share in self.shares.values():
-            left = share.read_until - now
-            reading.is_reading |= left >= 0.0
-            if share.is_whole and not share.job.is_writing:
-                reading.is_overdue |= left < -OVERDUE
-            if share.part <= QUICK_READ and share.is_whole:
-                # Short prompts are read together, in one pass.
-                quick += min(share.part, max(0.0, left))
+    def _sum_prefill(self, now: float) -> _QueuedPrefill:
+        """Sum up the prefill queued there, from own jobs and reported load."""
+        queued = _QueuedPrefill()
+        quick_time = 0.0
+        for part in self.parts.values():
+            left = part.prefill_until - now
+            queued.is_prefilling |= left >= 0.0
+            if part.is_unsplit and not part.job.is_decoding:
+                queued.is_overdue |= left < -FIRST_TOKEN_GRACE_S
+            if part.prefill_time <= MIN_SPLIT_PREFILL_S and part.is_unsplit:
+                # Short prompts are prefilled together, in one batch step.
+                quick_time += min(part.prefill_time, max(0.0, left))
             elif left > 0.0:
-                reading.pending = max(reading.pending, left)
-                start = max(0.0, share.read_from - now)
-                reading.busy.append(BusyTime(start, left))
-        reading.pending += quick
-        others = self._find_others(now)
-        if others is not None:
-            reading.is_reading = True
-            left = others.reading - (now - self.others_at)
+                queued.pending_prefill = max(queued.pending_prefill, left)
+                start = max(0.0, part.prefill_from - now)
+                queued.intervals.append(PrefillInterval(start, left))
+        queued.pending_prefill += quick_time
+        reported = self._find_reported(now)
+        if reported is not None:
+            queued.is_prefilling = True
+            left = reported.reading - (now - self.reported_at)
             if left > 0.0:
-                reading.pending = max(reading.pending, left)
-                reading.busy.append(BusyTime(0.0, left))
-        if quick > 0.0:
-            reading.busy.append(BusyTime(0.0, quick))
-        return reading
+                queued.pending_prefill = max(queued.pending_prefill, left)
+                queued.intervals.append(PrefillInterval(0.0, left))
+        if quick_time > 0.0:
+            queued.intervals.append(PrefillInterval(0.0, quick_time))
+        return queued
 
     def _find_occupancy(self, now: float, *, is_overdue: bool) -> Occupancy:
-        gaps = sorted(
-            share.job.work.event_gap for share in self.shares.values() if share.is_first
+        event_gaps = sorted(
+            part.job.work.event_gap for part in self.parts.values() if part.is_lead
         )
         unknown_jobs = self.unknown_jobs if now < self.unknown_until else 0
-        told_jobs, told_gap = 0, 0.0
-        others = self._find_others(now)
-        if others is not None:
-            # Some of them have ended since.
-            age = now - self.others_at
-            told_jobs = int(others.writing * (1.0 - age / BUSY_LIFE))
-            told_gap = others.event_gap
-        return Occupancy(tuple(gaps), unknown_jobs, told_jobs, told_gap, is_overdue)
+        reported_jobs, reported_event_gap = 0, 0.0
+        reported = self._find_reported(now)
+        if reported is not None:
+            # Jobs have ended since the report: count them down over its lifetime.
+            age = now - self.reported_at
+            reported_jobs = int(reported.writing * (1.0 - age / REPORTED_LOAD_TTL_S))
+            reported_event_gap = reported.event_gap
+        return Occupancy(
+            tuple(event_gaps),
+            unknown_jobs,
+            reported_jobs,
+            reported_event_gap,
+            is_overdue,
+        )
 
     def _list_contexts(self, occupancy: Occupancy) -> list[int]:
-        """Sizes of the prompts that are written for; nothing is known of others'."""
+        """List context sizes of decoding jobs; 0 for jobs of other schedulers."""
         known = [
-            share.job.work.prompt_tokens
-            for share in self.shares.values()
-            if share.is_first
+            part.job.work.prompt_tokens for part in self.parts.values() if part.is_lead
         ]
         return known + [0] * occupancy.unknown_jobs
 
-    def _find_others(self, now: float) -> BusyReplica | None:
-        return self.others if now - self.others_at <= BUSY_LIFE else None
+    def _find_reported(self, now: float) -> BusyReplica | None:
+        return self.reported if now - self.reported_at <= REPORTED_LOAD_TTL_S else None
 
     def _find_next_change(self, now: float) -> float:
-        """When the clock alone ends what is believed, reading apart."""
-        times = [self.suspect_until, self.paced_until, self.unknown_until]
-        if self.others is not None:
-            times.append(self.others_at + BUSY_LIFE)
-        times += [share.read_until for share in self.shares.values()]
+        """Find when the view changes through time alone, apart from its prefill."""
+        times = [self.avoid_until, self.pace_until, self.unknown_until]
+        if self.reported is not None:
+            times.append(self.reported_at + REPORTED_LOAD_TTL_S)
+        times += [part.prefill_until for part in self.parts.values()]
         return min((time for time in times if time >= now), default=math.inf)
--- a/src/scalebend/core/gateway/replica_pool.py
+++ b/src/scalebend/core/gateway/replica_pool.py
@@ -1,10 +1,10 @@
-"""The usable replicas of one service, kept in order, so that a choice looks at few.
+"""Ordered index of a service's usable replicas, so that a choice examines few of them.
 
-Most replicas do not change between two choices: what they write was started before, and
-what they had to read is read. Their views are kept, in buckets of the same occupancy:
-such replicas are equal but for memory and rank, so a sorted list tells which is next.
-Only replicas that read are looked at anew each time, since their reading ends by the
-clock. A choice therefore costs by what is being read, not by the size of the fleet.
+Most views do not change between two choices: those of replicas that only decode. They
+are kept in buckets of equal occupancy, sorted by rank; replicas in a bucket differ only
+in memory and rank. Views of replicas that prefill change with the clock and are rebuilt
+for each choice. The cost of a choice therefore follows the number of replicas that
+prefill, not the size of the fleet.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from scalebend.models.ids import UpstreamId
 from scalebend.models.routing import EngineProfile
 
-_UNKNOWN = ReplicaLoad()
-"""A replica of which nothing is known."""
+_NO_LOAD = ReplicaLoad()
+"""Load of a replica of which nothing is known."""
 
 
 class _Bucket(msgspec.Struct, eq=False):
-    """Sound replicas with the same occupancy."""
+    """Healthy replicas with the same occupancy."""
 
     occupancy: Occupancy
-    settled: list[tuple[int, UpstreamId]] = msgspec.field(default_factory=list)
-    """Those that read nothing, by rank."""
+    without_prefill: list[tuple[int, UpstreamId]] = msgspec.field(default_factory=list)
+    """Replicas without scheduled prefill, by rank."""
 
-    reading: dict[UpstreamId, None] = msgspec.field(default_factory=dict)
+    prefilling: dict[UpstreamId, None] = msgspec.field(default_factory=dict)
 
 
 class _Member(msgspec.Struct):
@@ -42,14 +42,14 @@
     view: EngineView | None = None
     viewed_at: float = 0.0
     bucket: _Bucket | None = None
-    """Where it is indexed; ``None`` for one that is unsound or new."""
+    """Where it is indexed; ``None`` if it is unhealthy or new."""
 
 
 class ReplicaPool:
     """Views of the replicas of one service at the moment of the last refresh."""
 
     def __init__(self, rank: Callable[[UpstreamId], int]) -> None:
-        """``rank`` gives the order in which equal replicas are taken."""
+        """``rank`` gives the order in which equal replicas are chosen."""
         self._rank = rank
         self._endpoints: Sequence[Endpoint] | None = None
         self._profile: EngineProfile | None = None
@@ -57,21 +57,21 @@
         self._now = 0.0
         self._members: dict[UpstreamId, _Member] = {}
         self._buckets: dict[Occupancy, _Bucket] = {}
-        self._unsound: dict[UpstreamId, None] = {}
+        self._unhealthy: dict[UpstreamId, None] = {}
         self._stale: dict[UpstreamId, None] = {}
-        self._changes: list[tuple[float, UpstreamId]] = []
-        """Heap of the times at which a kept view ends by the clock."""
+        self._expiries: list[tuple[float, UpstreamId]] = []
+        """Heap of the clock times at which kept views expire."""
 
         self.quick_replicas = 0
-        """Sound replicas that write for quick requests."""
+        """Healthy replicas on which quick requests decode."""
 
         self.quick_jobs = 0
-        """Jobs on these."""
+        """Jobs on these replicas."""
 
     # Changes
 
-    def touch(self, upstream: UpstreamId) -> None:
-        """Something of a replica changed."""
+    def mark_stale(self, upstream: UpstreamId) -> None:
+        """Mark the view of a replica as stale."""
         if upstream in self._members:
             self._stale[upstream] = None
 
@@ -82,22 +82,22 @@
         loads: Mapping[UpstreamId, ReplicaLoad],
         now: float,
     ) -> None:
-        """Bring what is known up to ``now``."""
+        """Update the index to ``now``."""
         self._now = now
         self._loads = loads
         if profile != self._profile:
             self._profile = profile
             self._stale |= dict.fromkeys(self._members)
-        # A tuple never changes: the directory hands out a new one.
+        # The directory returns a new tuple after a change; a list may change in place.
         if endpoints is not self._endpoints or not isinstance(endpoints, tuple):
-            self._keep_to(endpoints)
-        while self._changes and self._changes[0][0] <= now:
-            self.touch(heapq.heappop(self._changes)[1])
+            self._sync_members(endpoints)
+        while self._expiries and self._expiries[0][0] <= now:
+            self.mark_stale(heapq.heappop(self._expiries)[1])
         for upstream in self._stale:
             self._index(upstream)
         self._stale.clear()
 
-    def _keep_to(self, endpoints: Sequence[Endpoint]) -> None:
+    def _sync_members(self, endpoints: Sequence[Endpoint]) -> None:
         self._endpoints = endpoints
         usable = {endpoint.upstream: endpoint for endpoint in endpoints}
         for upstream in [name for name in self._members if name not in usable]:
@@ -117,34 +117,36 @@
         member = self._members[upstream]
         bucket = member.bucket
         member.bucket = None
-        self._unsound.pop(upstream, None)
+        self._unhealthy.pop(upstream, None)
         if bucket is None:
             return
-        if upstream in bucket.reading:
-            del bucket.reading[upstream]
+        if upstream in bucket.prefilling:
+            del bucket.prefilling[upstream]
         else:
-            del bucket.settled[bisect_left(bucket.settled, (member.rank, upstream))]
-        if not bucket.settled and not bucket.reading:
+            del bucket.without_prefill[
+                bisect_left(bucket.without_prefill, (member.rank, upstream))
+            ]
+        if not bucket.without_prefill and not bucket.prefilling:
             del self._buckets[bucket.occupancy]
         self._count_quick(bucket.occupancy, -1)
 
     def _index(self, upstream: UpstreamId) -> None:
         self._unindex(upstream)
         view = self._build_view(upstream)
-        if view.stable_until < math.inf:
-            heapq.heappush(self._changes, (view.stable_until, upstream))
+        if view.valid_until < math.inf:
+            heapq.heappush(self._expiries, (view.valid_until, upstream))
         member = self._members[upstream]
-        if not self._loads.get(upstream, _UNKNOWN).is_sound(self._now):
-            self._unsound[upstream] = None
+        if not self._loads.get(upstream, _NO_LOAD).is_healthy(self._now):
+            self._unhealthy[upstream] = None
             return
         bucket = self._buckets.get(view.occupancy)
         if bucket is None:
             bucket = self._buckets[view.occupancy] = _Bucket(view.occupancy)
         member.bucket = bucket
-        if view.is_reading:
-            bucket.reading[upstream] = None
+        if view.is_prefilling:
+            bucket.prefilling[upstream] = None
         else:
-            insort(bucket.settled, (member.rank, upstream))
+            insort(bucket.without_prefill, (member.rank, upstream))
         self._count_quick(view.occupancy, 1)
 
     def _count_quick(self, occupancy: Occupancy, change: int) -> None:
@@ -155,7 +157,7 @@
     def _build_view(self, upstream: UpstreamId) -> EngineView:
         assert self._profile is not None
         member = self._members[upstream]
-        load = self._loads.get(upstream, _UNKNOWN)
+        load = self._loads.get(upstream, _NO_LOAD)
         member.viewed_at = self._now
         member.view = load.build_view(
             member.endpoint, member.rank, self._profile, self._now
@@ -165,48 +167,49 @@
     # Views
 
     @property
-    def has_sound(self) -> bool:
-        """Whether any replica is sound."""
+    def has_healthy(self) -> bool:
+        """Whether any replica is healthy."""
         return bool(self._buckets)
 
     def list_occupancies(self) -> list[Occupancy]:
-        """Companies that sound replicas have now."""
+        """List the occupancies of healthy replicas."""
         return list(self._buckets)
 
-    def iterate_settled(
+    def iterate_without_prefill(
         self, occupancy: Occupancy, *, reverse: bool = False
     ) -> Iterator[EngineView]:
-        """Sound replicas with this occupancy that read nothing, by rank."""
-        settled = self._buckets[occupancy].settled
-        for _, upstream in reversed(settled) if reverse else settled:
+        """Yield healthy replicas of this occupancy that do not prefill, by rank."""
+        without_prefill = self._buckets[occupancy].without_prefill
+        for _, upstream in reversed(without_prefill) if reverse else without_prefill:
             yield self._get_view(upstream)
 
-    def iterate_reading(self, occupancy: Occupancy) -> Iterator[EngineView]:
-        """Sound replicas with this occupancy that read."""
-        for upstream in self._buckets[occupancy].reading:
+    def iterate_prefilling(self, occupancy: Occupancy) -> Iterator[EngineView]:
+        """Yield healthy replicas of this occupancy that prefill."""
+        for upstream in self._buckets[occupancy].prefilling:
             yield self._get_view(upstream)
 
     def iterate_views(self, occupancy: Occupancy) -> Iterator[EngineView]:
-        """Sound replicas with this occupancy, those that read last."""
-        yield from self.iterate_settled(occupancy)
-        yield from self.iterate_reading(occupancy)
+        """Yield healthy replicas of this occupancy, those that prefill last."""
+        yield from self.iterate_without_prefill(occupancy)
+        yield from self.iterate_prefilling(occupancy)
 
-    def count_settled(self, occupancy: Occupancy) -> int:
-        """Sound replicas with this occupancy that read nothing."""
+    def count_without_prefill(self, occupancy: Occupancy) -> int:
+        """Count healthy replicas of this occupancy that do not prefill."""
         bucket = self._buckets.get(occupancy)
-        return len(bucket.settled) if bucket is not None else 0
+        return len(bucket.without_prefill) if bucket is not None else 0
 
-    def count_others_than_quick(self, beside: Iterable[EngineView]) -> int:
-        """Sound replicas that do not write for quick requests, ``beside`` left out."""
+    def count_without_quick(self, apart_from: Iterable[EngineView]) -> int:
+        """Count healthy replicas without quick jobs, ``apart_from`` left out."""
         indexed = sum(
-            len(bucket.settled) + len(bucket.reading)
+            len(bucket.without_prefill) + len(bucket.prefilling)
             for occupancy, bucket in self._buckets.items()
             if not occupancy.is_quick
         )
-        return indexed - sum(not view.occupancy.is_quick for view in beside)
+        return indexed - sum(not view.occupancy.is_quick for view in apart_from)
 
     def list_views(self, excluded: Iterable[UpstreamId] = ()) -> list[EngineView]:
-        """Sound replicas but for those ``excluded``; all others if there are none."""
+        """List healthy replicas except ``excluded``; if none is left, unhealthy
+        ones."""
         left_out = set(excluded)
         views = [
             self._get_view(upstream)
@@ -215,13 +218,13 @@
         ]
         return views or [
             self._get_view(upstream)
-            for upstream in self._unsound
+            for upstream in self._unhealthy
             if upstream not in left_out
         ]
 
     def _get_view(self, upstream: UpstreamId) -> EngineView:
         member = self._members[upstream]
         view = member.view
-        if view is None or (view.is_reading and member.viewed_at != self._now):
+        if view is None or (view.is_prefilling and member.viewed_at != self._now):
             return self._build_view(upstream)
         return view
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -174,7 +174,7 @@
         if ended.outcome is Outcome.NOT_SENT:
             runtime.note_replica_failure(faulty)
         if ended.outcome is Outcome.REJECTED and target.job is not None:
-            runtime.note_rejection(faulty)
+            runtime.record_rejection(faulty)
         if ended.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
             runtime.instance.note_outcome(faulty, has_failed=True)
         decision = self._attempts.decide(
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -24,12 +24,12 @@
     SendAnswer,
     SendQuestion,
 )
-from scalebend.core.gateway.placement_repair import drop_replicas
-from scalebend.core.gateway.placement_turn import (
-    REPLAN_PERIOD,
-    keep_turn,
-    renew_work,
+from scalebend.core.gateway.placement_aging import (
+    REPLAN_PERIOD_S,
+    age_placement,
+    age_work,
 )
+from scalebend.core.gateway.placement_repair import drop_replicas
 from scalebend.edges.gateway.leader_calls import LeaderCalls
 from scalebend.edges.gateway.links import HEARTBEAT, Dialer
 from scalebend.edges.gateway.metrics import GatewayMetrics
@@ -224,24 +224,24 @@
         self, work: EngineWork, placement: Placement
     ) -> Placement | Declined:
         """Wait until the prompt may be sent; ask now and then if that is sooner."""
-        while placement.start_in > REPLAN_PERIOD:
+        while placement.start_in > REPLAN_PERIOD_S:
             asked_at = self.now()
-            await asyncio.sleep(REPLAN_PERIOD)
-            renewed = renew_work(work, REPLAN_PERIOD)
+            await asyncio.sleep(REPLAN_PERIOD_S)
+            renewed = age_work(work, REPLAN_PERIOD_S)
             answer = await self._leader_calls.place(
                 self.instance.leader,
                 self.instance.leave_out_closed(renewed, self.now()),
                 may_pause=False,
             )
             waited = self.now() - asked_at
-            work = renew_work(work, waited)
+            work = age_work(work, waited)
             placed = None
             if answer is not None:
                 placed = answer.placement or answer.declined
             if isinstance(placed, Declined):
                 return placed
             if placed is None:
-                placement = keep_turn(placement, waited)
+                placement = age_placement(placement, waited)
                 continue
             placement = placed
             self.instance.note_replanned(work, placement, self.now())
@@ -290,12 +290,12 @@
         """The first event of a job came, with the replica's own count of its load."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
-        self._execute(self.instance.note_stage(stage, self.now()))
+        self._execute(self.instance.record_stage(stage, self.now()))
 
     def note_job_ended(self, job: JobId) -> None:
         """A job ended, well or not."""
         stage = JobStage(job, is_ended=True)
-        self._execute(self.instance.note_stage(stage, self.now()))
+        self._execute(self.instance.record_stage(stage, self.now()))
 
     async def inspect(self, placement: Placement) -> list[UpstreamId]:
         """Ask the replicas which of them is slow; return those that do not answer."""
@@ -361,13 +361,13 @@
         """An upstream gave a whole answer to the request."""
         self._execute(self.instance.note_answered(fingerprint, self.now()))
 
-    def note_rejection(self, upstream: UpstreamId) -> None:
+    def record_rejection(self, upstream: UpstreamId) -> None:
         """An engine turned a request away that it had not run."""
-        self._execute(self.instance.note_rejection(upstream, self.now()))
+        self._execute(self.instance.record_rejection(upstream, self.now()))
 
     def note_replica_failure(self, upstream: UpstreamId) -> None:
         """A replica could not be reached, or fell silent."""
-        self._execute(self.instance.note_failure(upstream, self.now()))
+        self._execute(self.instance.record_failure(upstream, self.now()))
 
 
 @contextlib.asynccontextmanager
--- a/src/scalebend/edges/gateway/inspection.py
+++ b/src/scalebend/edges/gateway/inspection.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from scalebend.core.gateway.replica_load import SLOW_PACE
+from scalebend.core.gateway.replica_load import UNHEALTHY_PACE
 from scalebend.edges.gateway.upstream_client import build_timeout
 from scalebend.models.endpoints import get_upstream_born
 from scalebend.models.ids import UpstreamId
@@ -87,7 +87,7 @@
         report = self._reports.get(upstream)
         if not isinstance(report, ReplicaReport) or now - asked_at > REPORT_LIFE:
             return False
-        return report.waiting > 0 and report.pace < SLOW_PACE
+        return report.waiting > 0 and report.pace < UNHEALTHY_PACE
 
     def list_silent(
         self, upstreams: Iterable[UpstreamId], now: float
--- a/src/scalebend/measuring/engine_passes.py
+++ b/src/scalebend/measuring/engine_passes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import compute_pass_time
+from scalebend.core.gateway.engine_costs import compute_batch_step_time
 from scalebend.measuring.placement_scenario import Engines
 
 
@@ -104,7 +104,7 @@
             return None
         self._pass = chosen
         contexts = [writing.context for writing in self._writing.values()]
-        steps = compute_pass_time(self._profile, contexts)
+        steps = compute_batch_step_time(self._profile, contexts)
         return steps + sum(reading.seconds for reading in chosen)
 
     def _choose_reading(self) -> list[Reading]:
--- a/src/scalebend/measuring/placement_baselines.py
+++ b/src/scalebend/measuring/placement_baselines.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-from scalebend.core.gateway.engine_costs import compute_pass_time, compute_read_time
-from scalebend.core.gateway.placement_choice import MOST_HELPERS
+from scalebend.core.gateway.engine_costs import (
+    compute_batch_step_time,
+    compute_prefill_time,
+)
+from scalebend.core.gateway.placement_choice import MAX_HELPERS
 from scalebend.measuring.placement_results import Result
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.placement import EngineWork, Helper, Placement
@@ -17,7 +20,7 @@
     work: EngineWork, endpoint: Endpoint, alive: list[Endpoint]
 ) -> Placement:
     """``endpoint``, and as many of the next ones in order as the prompt is long."""
-    more = min(MOST_HELPERS, work.prompt_tokens // TOKENS_A_HELPER)
+    more = min(MAX_HELPERS, work.prompt_tokens // TOKENS_A_HELPER)
     position = alive.index(endpoint)
     others = (alive[position + 1 :] + alive[:position])[:more]
     helpers = tuple(Helper(one.upstream, one.address) for one in others)
@@ -34,9 +37,9 @@
     ``way`` is the time in seconds from a caller to its front, and on to an engine.
     """
     arrival = result.arrival
-    read = compute_read_time(profile, arrival.prompt)
-    width = min(MOST_HELPERS + 1, engines)
-    event = compute_pass_time(profile, [arrival.prompt])
+    read = compute_prefill_time(profile, arrival.prompt)
+    width = min(MAX_HELPERS + 1, engines)
+    event = compute_batch_step_time(profile, [arrival.prompt])
     result.first_event = read / width + event + 3 * way
     result.longest_gap = event
     result.is_whole = True
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -14,12 +14,16 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import compute_read_time
+from scalebend.core.gateway.engine_costs import compute_prefill_time
 from scalebend.core.gateway.engine_scheduler import (
-    LONGEST_PART_ALONE,
+    UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
-from scalebend.core.gateway.placement_turn import REPLAN_PERIOD, keep_turn, renew_work
+from scalebend.core.gateway.placement_aging import (
+    REPLAN_PERIOD_S,
+    age_placement,
+    age_work,
+)
 from scalebend.measuring.engine_passes import PassEngine, Reading, Writing
 from scalebend.measuring.placement_baselines import place_simply, serve_alone
 from scalebend.measuring.placement_cells import (
@@ -97,7 +101,7 @@
         self._down: set[int] = set()
         self._cells = build_cells(scenario, self._endpoints)
         self._fronts = [
-            EngineScheduler(f"front-{n}", LONGEST_PART_ALONE)
+            EngineScheduler(f"front-{n}", UNCOORDINATED_MAX_PART_S)
             for n in range(scenario.fronts)
         ]
         self._jobs: dict[int, _Job] = {}
@@ -219,8 +223,8 @@
     def _await_turn(self, number: int) -> None:
         """Send when the turn comes; ask now and then whether it comes sooner."""
         start_in = self._jobs[number].placement.start_in
-        if start_in > REPLAN_PERIOD:
-            self._at(self._now + REPLAN_PERIOD, lambda: self._ask_again(number))
+        if start_in > REPLAN_PERIOD_S:
+            self._at(self._now + REPLAN_PERIOD_S, lambda: self._ask_again(number))
         else:
             self._at(self._now + start_in + SEND_TIME, lambda: self._send(number))
 
@@ -228,10 +232,10 @@
         job = self._jobs[number]
         if job.is_over:
             return
-        job.work = renew_work(job.work, REPLAN_PERIOD)
+        job.work = age_work(job.work, REPLAN_PERIOD_S)
         cell = job.cell
         if cell is None or self._is_lost(cell, job.result.arrival.front):
-            job.placement = keep_turn(job.placement, REPLAN_PERIOD)
+            job.placement = age_placement(job.placement, REPLAN_PERIOD_S)
             self._await_turn(number)
             return
         placed = self._decide(job.work, job.result.arrival.front, cell)
@@ -331,7 +335,7 @@
         for cell in self._cells:
             cell.scheduler = EngineScheduler()
         self._fronts = [
-            EngineScheduler(f"front-{n}", LONGEST_PART_ALONE)
+            EngineScheduler(f"front-{n}", UNCOORDINATED_MAX_PART_S)
             for n in range(self._scenario.fronts)
         ]
 
@@ -354,7 +358,7 @@
                 for replica in cell.scheduler.list_busy(self._now, len(self._engines))
             ]
             if heard:
-                front.note_busy(busy, self._now)
+                front.record_busy_replicas(busy, self._now)
         if self._now < self._scenario.length:
             self._at(self._now + NEWS_PERIOD, self._tell_fronts)
 
@@ -374,7 +378,7 @@
             return
         arrival = job.result.arrival
         width = len(job.engines)
-        seconds = compute_read_time(self._profile, arrival.prompt) / width
+        seconds = compute_prefill_time(self._profile, arrival.prompt) / width
         for engine in job.engines:
             tokens = arrival.prompt // width
             reading = Reading(number, seconds, tokens, is_joint=width > 1)
@@ -405,11 +409,11 @@
     def _tell(self, job: _Job, *, is_ended: bool) -> None:
         load = self._engines[job.engines[0]].open_jobs
         stage = JobStage(job.work.job, is_ended=is_ended, load=load)
-        self._fronts[job.result.arrival.front].note_stage(stage, self._now)
+        self._fronts[job.result.arrival.front].record_stage(stage, self._now)
         for cell in self._find_told(job):
             self._at(
                 self._now + TELL_TIME,
-                lambda c=cell: c.scheduler.note_stage(stage, self._now),  # type: ignore[misc]
+                lambda c=cell: c.scheduler.record_stage(stage, self._now),  # type: ignore[misc]
             )
 
     # Engines
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -16,7 +16,7 @@
 import structlog
 from aiohttp import web
 
-from scalebend.core.gateway.engine_costs import compute_read_time
+from scalebend.core.gateway.engine_costs import compute_prefill_time
 from scalebend.models.endpoints import (
     Endpoint,
     build_upstream_id,
@@ -243,7 +243,7 @@
         helpers = request.headers.get(HELPERS, "").split(",")
         parts = 1 + len([helper for helper in helpers if helper])
         if prompt is not None:
-            await asyncio.sleep(compute_read_time(ENGINE, prompt.prompt) / parts)
+            await asyncio.sleep(compute_prefill_time(ENGINE, prompt.prompt) / parts)
         answer = web.StreamResponse(headers=headers)
         answer.content_type = "text/event-stream"
         await answer.prepare(request)
--- a/tests/lib/gateway_group.py
+++ b/tests/lib/gateway_group.py
@@ -135,9 +135,9 @@
             self._send(self.names[number], told)
         return placed
 
-    def note_stage(self, front, job, *, is_ended):
+    def record_stage(self, front, job, *, is_ended):
         """A front saw a job's first token, or its end."""
-        told = front.note_stage(JobStage(job, is_ended), self.now)
+        told = front.record_stage(JobStage(job, is_ended), self.now)
         self._send(self.names[self.fronts.index(front)], told)
 
     def renew(self):
@@ -163,9 +163,9 @@
             self.names[self.fronts.index(front)], front.hear_limit(heard, self.now)
         )
 
-    def note_rejection(self, front, upstream):
+    def record_rejection(self, front, upstream):
         """An engine turned a front's request away."""
-        told = front.note_rejection(upstream, self.now)
+        told = front.record_rejection(upstream, self.now)
         self._send(self.names[self.fronts.index(front)], told)
 
     def _send(self, name, actions):
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -10,7 +10,7 @@
     ToFront,
 )
 from scalebend.core.gateway.control_instance import ControlInstance
-from scalebend.core.gateway.leader_placement import LEARNING_TIME
+from scalebend.core.gateway.leader_placement import LEARNING_TIMEOUT_S
 from scalebend.core.gateway.messages import (
     ControlNews,
     EndpointChanges,
@@ -221,7 +221,7 @@
 
 def test_front_that_tells_nothing_holds_the_new_leader_up_only_briefly(learning):
     learning.instance.handle_front(FRONT, OpenJobs([]), learning.now)
-    learning.now += LEARNING_TIME
+    learning.now += LEARNING_TIMEOUT_S
     assert ask(learning, 1).placement is not None
 
 
--- a/tests/unit/gateway/test_engine_scheduler.py
+++ b/tests/unit/gateway/test_engine_scheduler.py
@@ -5,12 +5,15 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from scalebend.core.gateway.engine_costs import compute_pass_time, compute_read_time
+from scalebend.core.gateway.engine_costs import (
+    compute_batch_step_time,
+    compute_prefill_time,
+)
 from scalebend.core.gateway.engine_scheduler import (
-    LONGEST_PART_ALONE,
+    UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
-from scalebend.core.gateway.replica_load import UNKNOWN_LIFE
+from scalebend.core.gateway.replica_load import UNKNOWN_JOBS_TTL_S
 from scalebend.models.ids import InstanceId
 from scalebend.models.placement import (
     Declined,
@@ -38,18 +41,18 @@
 def start(scheduler, work, now=0.0):
     """Place work and see its first token."""
     placement = place(scheduler, work, now)
-    scheduler.note_stage(JobStage(work.job, is_ended=False), now)
+    scheduler.record_stage(JobStage(work.job, is_ended=False), now)
     return placement
 
 
 def test_reading_time_of_the_sheet():
-    times = [compute_read_time(PROFILE, p) for p in (5_000, 45_000, 210_000)]
+    times = [compute_prefill_time(PROFILE, p) for p in (5_000, 45_000, 210_000)]
     assert times == pytest.approx([0.0207, 0.2686, 2.842], rel=0.01)
 
 
 def test_pass_without_writers_takes_no_steps():
-    assert compute_pass_time(PROFILE, []) == 0.0
-    assert 0.042 < compute_pass_time(PROFILE, [5_000]) < 0.045
+    assert compute_batch_step_time(PROFILE, []) == 0.0
+    assert 0.042 < compute_batch_step_time(PROFILE, [5_000]) < 0.045
 
 
 def test_quick_requests_share_as_few_replicas_as_have_slots():
@@ -82,7 +85,7 @@
         placement = place(scheduler, work)
         if isinstance(placement, Declined) or placement.first_token_in > target:
             return
-        part = compute_read_time(PROFILE, prompt) / (1 + len(placement.helpers))
+        part = compute_prefill_time(PROFILE, prompt) / (1 + len(placement.helpers))
         start = placement.start_in
         for upstream in placement.upstreams:
             others = parts.setdefault(upstream, [])
@@ -133,31 +136,31 @@
     for number in range(100):
         work = build_quick(number)
         place(scheduler, work, now=float(number))
-        scheduler.note_stage(JobStage(work.job, is_ended=False), number + 2.0)
-        scheduler.note_stage(JobStage(work.job, is_ended=True), number + 2.5)
+        scheduler.record_stage(JobStage(work.job, is_ended=False), number + 2.0)
+        scheduler.record_stage(JobStage(work.job, is_ended=True), number + 2.5)
     assert place(scheduler, build_quick("next"), now=200.0).first_token_in < 0.1
 
 
 def test_slow_replica_is_avoided_until_its_word_is_old():
     scheduler = EngineScheduler()
     first = place(scheduler, build_quick(1))
-    scheduler.note_stage(JobStage("front-1-1", is_ended=True), 0.1)
-    scheduler.note_pace(ReplicaPace(first.upstream, 4.0), 0.2)
+    scheduler.record_stage(JobStage("front-1-1", is_ended=True), 0.1)
+    scheduler.record_pace(ReplicaPace(first.upstream, 4.0), 0.2)
     assert place(scheduler, build_quick(2), now=0.3).upstream != first.upstream
     for number in range(3, 9):
-        scheduler.note_stage(JobStage(f"front-1-{number - 1}", is_ended=True), 9.0)
+        scheduler.record_stage(JobStage(f"front-1-{number - 1}", is_ended=True), 9.0)
     assert place(scheduler, build_quick(10), now=9.0).upstream == first.upstream
 
 
 def test_unreachable_replica_is_avoided_but_used_when_all_are():
     scheduler = EngineScheduler()
     pair = ENDPOINTS[:2]
-    scheduler.note_failure("i-1", 0.0)
+    scheduler.record_failure("i-1", 0.0)
     for number in range(20):
         work = build_quick(number)
         assert place(scheduler, work, 0.1, pair).upstream == "i-2"
-        scheduler.note_stage(JobStage(work.job, is_ended=True), 0.1)
-    scheduler.note_failure("i-2", 0.1)
+        scheduler.record_stage(JobStage(work.job, is_ended=True), 0.1)
+    scheduler.record_failure("i-2", 0.1)
     assert isinstance(place(scheduler, build_quick("last"), 0.2, pair), Placement)
 
 
@@ -206,7 +209,7 @@
 
 
 def test_fronts_deciding_alone_spread_and_use_small_parts():
-    fronts = [EngineScheduler(f"front-{n}", LONGEST_PART_ALONE) for n in range(9)]
+    fronts = [EngineScheduler(f"front-{n}", UNCOORDINATED_MAX_PART_S) for n in range(9)]
     firsts = [place(front, build_quick(n)).upstream for n, front in enumerate(fronts)]
     assert len(set(firsts)) >= 5
     placement = place(fronts[0], build_work("long", 45_000, target=1.5, event_gap=0.5))
@@ -217,7 +220,7 @@
     leader = EngineScheduler()
     placement = place(leader, build_work("long", 210_000))
     front = EngineScheduler("front")
-    front.note_busy(leader.list_busy(0.0, 32), 0.0)
+    front.record_busy_replicas(leader.list_busy(0.0, 32), 0.0)
     reading = {placement.upstream, *(h.upstream for h in placement.helpers)}
     for number in range(30):
         assert place(front, build_quick(number), 0.01).upstream not in reading
@@ -226,12 +229,12 @@
 def test_jobs_of_a_front_that_is_cut_off_take_slots_too():
     scheduler = EngineScheduler()
     first = place(scheduler, build_quick(1))
-    scheduler.note_stage(JobStage("front-1-1", is_ended=False, load=7), 0.1)
+    scheduler.record_stage(JobStage("front-1-1", is_ended=False, load=7), 0.1)
     second = place(scheduler, build_quick(2), 0.1)
     assert second.upstream != first.upstream
-    scheduler.note_stage(JobStage("front-1-2", is_ended=True), 0.2)
+    scheduler.record_stage(JobStage("front-1-2", is_ended=True), 0.2)
     # What was told once is not believed for long.
-    old = 0.1 + UNKNOWN_LIFE
+    old = 0.1 + UNKNOWN_JOBS_TTL_S
     assert place(scheduler, build_quick(3), old - 0.1).upstream != first.upstream
     assert place(scheduler, build_quick(4), old).upstream == first.upstream
 
@@ -242,7 +245,7 @@
     turns = {}
     for number in range(6):
         placement = place(scheduler, build_work(number, 270_000, target=10.0))
-        part = compute_read_time(PROFILE, 270_000) / (1 + len(placement.helpers))
+        part = compute_prefill_time(PROFILE, 270_000) / (1 + len(placement.helpers))
         for upstream in (placement.upstream, *(h.upstream for h in placement.helpers)):
             assert placement.start_in >= turns.get(upstream, 0.0) - 1e-9
             turns[upstream] = placement.start_in + part
@@ -268,16 +271,18 @@
     leader = EngineScheduler()
     for number in range(CROWD):
         place(leader, build_quick(number), endpoints=FLEET)
-    fronts = [EngineScheduler(f"front-{n}", LONGEST_PART_ALONE) for n in range(80)]
+    fronts = [
+        EngineScheduler(f"front-{n}", UNCOORDINATED_MAX_PART_S) for n in range(80)
+    ]
     for front in fronts:
-        front.note_busy(leader.list_busy(0.0, 64), 0.0)
+        front.record_busy_replicas(leader.list_busy(0.0, 64), 0.0)
     return leader, fronts
 
 
 def test_front_alone_does_not_send_jobs_in_a_row_to_one_replica():
     endpoints = tuple(build_endpoint(number) for number in range(1, 151))
     for front in range(10):
-        scheduler = EngineScheduler(f"front-{front}", LONGEST_PART_ALONE)
+        scheduler = EngineScheduler(f"front-{front}", UNCOORDINATED_MAX_PART_S)
         jobs = [build_quick(n, job=f"front-{front}-{n}") for n in range(4)]
         chosen = [place(scheduler, job, endpoints=endpoints).upstream for job in jobs]
         assert len(set(chosen)) >= 3
--- a/tests/unit/gateway/test_front_instance.py
+++ b/tests/unit/gateway/test_front_instance.py
@@ -142,8 +142,8 @@
     for number in (1, 2):
         work = build_quick(number)
         front.open_job(work, front.place(work, 1.0), 1.0, is_own=True)
-    front.note_stage(JobStage("front-1-1", is_ended=True), 1.5)
-    front.note_stage(JobStage("front-1-2", is_ended=False), 1.5)
+    front.record_stage(JobStage("front-1-1", is_ended=True), 1.5)
+    front.record_stage(JobStage("front-1-2", is_ended=False), 1.5)
     front.remove_link(A)
     actions = front.handle(B, ControlNews([A, B], B, 2, 2), 2.0)
     (message,) = list_messages(actions, OpenJobs)
--- a/tests/unit/gateway/test_incarnations.py
+++ b/tests/unit/gateway/test_incarnations.py
@@ -117,14 +117,14 @@
     old, new = build_life(1), build_life(2)
     work = build_quick(1)
     scheduler.place(work, (old,), PROFILE, 0.0)
-    scheduler.note_failure(old.upstream, 0.0)
-    scheduler.note_pace(ReplicaPace(old.upstream, 4.0), 0.0)
+    scheduler.record_failure(old.upstream, 0.0)
+    scheduler.record_pace(ReplicaPace(old.upstream, 4.0), 0.0)
     alone = EngineScheduler().place(build_quick(2), (new,), PROFILE, 0.1)
     after = scheduler.place(build_quick(2), (new,), PROFILE, 0.1)
     assert after == alone
     assert new.upstream not in scheduler.summarise(0.2).suspect
     # A late word of its end changes nothing of the next.
-    scheduler.note_failure(old.upstream, 0.2)
+    scheduler.record_failure(old.upstream, 0.2)
     assert scheduler.summarise(0.2).suspect == [old.upstream]
 
 
--- a/tests/unit/gateway/test_limit_sums.py
+++ b/tests/unit/gateway/test_limit_sums.py
@@ -174,7 +174,7 @@
         for _, front, job, upstream, known in due:
             rate = self.said[upstream].rate
             heard = HeardLimit(upstream, rate, known.revision)
-            self.deployment.note_stage(front, job, is_ended=True)
+            self.deployment.record_stage(front, job, is_ended=True)
             self.deployment.hear_limit(front, heard)
 
 
--- a/tests/unit/gateway/test_limited_engines.py
+++ b/tests/unit/gateway/test_limited_engines.py
@@ -64,12 +64,12 @@
         for answer in [one for one in self._answers if one[0] <= now]:
             self._answers.remove(answer)
             _, front, job, heard = answer
-            self.deployment.note_stage(front, job, is_ended=False)
+            self.deployment.record_stage(front, job, is_ended=False)
             self.deployment.hear_limit(front, heard)
         for ending in [one for one in self._open if one[0] <= now]:
             self._open.remove(ending)
             _, front, job = ending
-            self.deployment.note_stage(front, job, is_ended=True)
+            self.deployment.record_stage(front, job, is_ended=True)
 
     def _arrive(self, now):
         front = self.chance.choice(self.deployment.fronts)
--- a/tests/unit/gateway/test_pauses_kept.py
+++ b/tests/unit/gateway/test_pauses_kept.py
@@ -52,7 +52,7 @@
     @rule(front=fronts, engine=engines, seconds=st.floats(0.1, 5.0))
     def ask_for_pause(self, front, engine, seconds):
         upstream = self.deployment.endpoints[engine].upstream
-        self.deployment.note_rejection(self.deployment.fronts[front], upstream)
+        self.deployment.record_rejection(self.deployment.fronts[front], upstream)
         instance = self.deployment.fronts[front]
         instance.backoffs.hear(upstream, seconds, self.now)
         before = self.until.get((front, upstream), 0.0)
@@ -108,7 +108,7 @@
             assert not paused & set(placed.upstreams)
             # A front looks again before it sends: whoever placed may know less.
             assert left & set(placed.upstreams) <= instance.list_left(placed, self.now)
-            self.deployment.note_stage(instance, work.job, is_ended=True)
+            self.deployment.record_stage(instance, work.job, is_ended=True)
         usable = instance.directory.list_usable(SERVICE)
         is_any_open = {one.upstream for one in usable} - paused - left
         assert not is_any_open or is_long or isinstance(placed, Placement)
--- a/tests/unit/gateway/test_placement_repair.py
+++ b/tests/unit/gateway/test_placement_repair.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from scalebend.core.gateway.placement_repair import LEAST_LEFT, drop_replicas
+from scalebend.core.gateway.placement_repair import MIN_REMAINING_SHARE, drop_replicas
 from scalebend.models.placement import Helper, Placement
 
 
@@ -23,7 +23,7 @@
     left = {f"i-{n}" for n in gone} & set(placement.upstreams)
     kept = drop_replicas(placement, left)
     staying = [one for one in placement.upstreams if one not in left]
-    if len(staying) < LEAST_LEFT * (1 + helpers):
+    if len(staying) < MIN_REMAINING_SHARE * (1 + helpers):
         assert kept is None
         return
     assert sorted(kept.upstreams) == sorted(staying)
--- a/tests/unit/gateway/test_placement_under_load.py
+++ b/tests/unit/gateway/test_placement_under_load.py
@@ -30,10 +30,10 @@
 import pytest
 
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
-from scalebend.core.gateway.placement_turn import (
-    REPLAN_PERIOD,
-    keep_turn,
-    renew_work,
+from scalebend.core.gateway.placement_aging import (
+    REPLAN_PERIOD_S,
+    age_placement,
+    age_work,
 )
 from scalebend.measuring.placement_results import Decider
 from scalebend.measuring.placement_run import PlacementRun
@@ -216,18 +216,18 @@
     scheduler, four, wide, waiting = build_convoy()
     for name in ("first", "wide-0"):
         job = build_work(name, 1).job
-        scheduler.note_stage(JobStage(job, is_ended=True), 0.1)
-    sooner = place(scheduler, renew_work(wide, 0.1), now=0.1, endpoints=four)
+        scheduler.record_stage(JobStage(job, is_ended=True), 0.1)
+    sooner = place(scheduler, age_work(wide, 0.1), now=0.1, endpoints=four)
     assert sooner.start_in < 0.1
     assert scheduler.open_jobs == 1
 
 
 def test_waiting_prompt_that_nobody_answers_keeps_its_turn():
     _, _, wide, waiting = build_convoy()
-    kept = keep_turn(waiting, REPLAN_PERIOD)
-    assert kept.start_in == pytest.approx(waiting.start_in - REPLAN_PERIOD)
+    kept = age_placement(waiting, REPLAN_PERIOD_S)
+    assert kept.start_in == pytest.approx(waiting.start_in - REPLAN_PERIOD_S)
     assert kept.upstreams == waiting.upstreams
-    assert renew_work(wide, 20.0).target == 0.0
+    assert age_work(wide, 20.0).target == 0.0
 
 
 # Prompts that cannot be in time
@@ -260,7 +260,7 @@
     assert second.upstream != first.upstream
     for number in (1, 2):
         stage = JobStage(build_quick(number).job, is_ended=False)
-        scheduler.note_stage(stage, 1.0)
+        scheduler.record_stage(stage, 1.0)
     assert place(scheduler, build_quick(3), now=1.1).upstream in (
         first.upstream,
         second.upstream,
--- a/tests/unit/gateway/test_replica_pool.py
+++ b/tests/unit/gateway/test_replica_pool.py
@@ -12,10 +12,10 @@
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.engine_view import IDLE
 from scalebend.core.gateway.placement_choice import (
-    PART_COST,
-    choose_group,
-    choose_in_time,
-    choose_in_time_of,
+    REPLICA_COST_S,
+    choose_on_time,
+    choose_on_time_from,
+    choose_prefill_group,
     place_on_idle,
 )
 from scalebend.core.gateway.replica_load import ReplicaLoad
@@ -63,14 +63,14 @@
                 scheduler.place(work, self.endpoints, PROFILE, now)
             case "writes" | "ends":
                 job = build_work(value, 1).job
-                scheduler.note_stage(JobStage(job, is_ended=step == "ends"), now)
+                scheduler.record_stage(JobStage(job, is_ended=step == "ends"), now)
             case "counts":
                 job = build_work(value, 1).job
-                scheduler.note_stage(JobStage(job, is_ended=False, load=4), now)
+                scheduler.record_stage(JobStage(job, is_ended=False, load=4), now)
             case "fails":
-                scheduler.note_failure(UpstreamId(f"i-{value}"), now)
+                scheduler.record_failure(UpstreamId(f"i-{value}"), now)
             case "slow":
-                scheduler.note_pace(ReplicaPace(UpstreamId(f"i-{value}"), 1.8), now)
+                scheduler.record_pace(ReplicaPace(UpstreamId(f"i-{value}"), 1.8), now)
             case "leaves":
                 gone = build_endpoint(value)
                 self.endpoints = tuple(e for e in self.endpoints if e != gone)
@@ -78,7 +78,7 @@
                 self.now += value
 
     def plan(self, work):
-        return self.scheduler._plan(work, PROFILE, self.now)
+        return self.scheduler._build_plan(work, PROFILE, self.now)
 
     def refresh(self):
         pool = self.scheduler._pools.get(ENDPOINTS[0].service)
@@ -107,7 +107,7 @@
         assert kept.quick_jobs == anew.quick_jobs
         assert kept.quick_replicas == anew.quick_replicas
         assert set(kept.list_occupancies()) == set(anew.list_occupancies())
-        assert kept.count_settled(IDLE) == anew.count_settled(IDLE)
+        assert kept.count_without_prefill(IDLE) == anew.count_without_prefill(IDLE)
 
 
 @given(STEPS, st.sampled_from([(5_000, 0.3, 0.2), (20_000, 1.0, 0.5)]))
@@ -118,7 +118,7 @@
     prompt, target, gap = size
     plan = fleet.plan(build_work("next", prompt, target=target, event_gap=gap))
     pool = fleet.refresh()
-    assert choose_in_time(plan, pool) == choose_in_time_of(plan, pool.list_views())
+    assert choose_on_time(plan, pool) == choose_on_time_from(plan, pool.list_views())
 
 
 @given(STEPS, st.sampled_from(SIZES[1:]))
@@ -132,10 +132,11 @@
     idle = place_on_idle(plan, pool)
     if idle is None:
         return
-    other = choose_group(plan, pool)
+    other = choose_prefill_group(plan, pool)
     assert isinstance(other, Placement)
     ends = [
-        one.first_token_in + PART_COST * len(one.upstreams) for one in (idle, other)
+        one.first_token_in + REPLICA_COST_S * len(one.upstreams)
+        for one in (idle, other)
     ]
     assert ends[0] <= ends[1] + 1e-9
 
@@ -158,20 +159,20 @@
 def test_replica_without_a_word_is_idle():
     pool = ReplicaPool(lambda upstream: len(upstream))
     pool.refresh(ENDPOINTS[:1], PROFILE, {}, 0.0)
-    assert pool.count_settled(IDLE) == 1
+    assert pool.count_without_prefill(IDLE) == 1
 
 
 def test_unsound_replicas_are_used_when_there_is_no_other():
     load = ReplicaLoad()
-    load.note_failure(0.0)
+    load.record_failure(0.0)
     pool = ReplicaPool(lambda upstream: 1)
     endpoint = ENDPOINTS[0]
     loads = {endpoint.upstream: load}
     pool.refresh((endpoint,), PROFILE, loads, 0.5)
-    assert not pool.has_sound
+    assert not pool.has_healthy
     assert [view.endpoint for view in pool.list_views()] == [endpoint]
     pool.refresh((endpoint,), PROFILE, loads, 3.0)
-    assert pool.has_sound
+    assert pool.has_healthy
 
 
 def test_list_that_is_changed_in_place_is_looked_at_again():
--- a/tests/unit/gateway/test_suspects_apart.py
+++ b/tests/unit/gateway/test_suspects_apart.py
@@ -32,7 +32,7 @@
     for number, job in enumerate(jobs):
         now = 0.15 * number
         placed.append(place(scheduler, endpoints, build_quick(number), now))
-        scheduler.note_stage(JobStage(job, is_ended=False), now + 0.1)
+        scheduler.record_stage(JobStage(job, is_ended=False), now + 0.1)
     (lost,) = {one.upstream for one in placed}
     for job in jobs:
         scheduler.forget(job)
--- a/tests/unit/gateway/test_tired_engines.py
+++ b/tests/unit/gateway/test_tired_engines.py
@@ -11,7 +11,7 @@
 import pytest
 
 from scalebend.core.gateway.attempts import MOST_REJECTIONS
-from scalebend.core.gateway.engine_scheduler import REJECTION_MEMORY
+from scalebend.core.gateway.engine_scheduler import REJECTION_AVOID_S
 from scalebend.models.placement import Placement
 from tests.lib.gateway_builders import build_quick
 from tests.lib.gateway_group import build_deployment
@@ -58,7 +58,7 @@
                 self._arrive()
             for one in [one for one in self._open if one[0] <= now]:
                 self._open.remove(one)
-                self.deployment.note_stage(one[1], one[2], is_ended=True)
+                self.deployment.record_stage(one[1], one[2], is_ended=True)
 
     def _arrive(self):
         front = self.chance.choice(self.deployment.fronts)
@@ -72,11 +72,11 @@
             if placed.upstream not in self.tired:
                 ending = self.deployment.now + WRITING
                 self._open.append((ending, front, work.job, placed.upstream))
-                self.deployment.note_stage(front, work.job, is_ended=False)
+                self.deployment.record_stage(front, work.job, is_ended=False)
                 return
             self.rejections += 1
-            self.deployment.note_stage(front, work.job, is_ended=True)
-            self.deployment.note_rejection(front, placed.upstream)
+            self.deployment.record_stage(front, work.job, is_ended=True)
+            self.deployment.record_rejection(front, placed.upstream)
             if self.pause:
                 front.backoffs.hear(placed.upstream, self.pause, self.deployment.now)
             excluded = (*excluded, placed.upstream)
@@ -92,6 +92,6 @@
     load.tired = load.list_used()[:TIRED]
     load.run(TIRED_TIME)
     assert len(load.tired) == TIRED
-    assert 0 < load.rejections <= TIRED * TIRED_TIME / REJECTION_MEMORY
+    assert 0 < load.rejections <= TIRED * TIRED_TIME / REJECTION_AVOID_S
     # The others have room for all: only who meets three tired ones in a row comes back.
     assert load.refused <= 2
--- a/tests/unit/test_decision_cost.py
+++ b/tests/unit/test_decision_cost.py
@@ -145,7 +145,7 @@
     for number in range(2 * replicas):
         work = build_quick(number, remaining=1e9)
         scheduler.place(work, endpoints, PROFILE, 0.0)
-        scheduler.note_stage(JobStage(work.job, is_ended=False), 0.0)
+        scheduler.record_stage(JobStage(work.job, is_ended=False), 0.0)
     numbers = itertools.count(1)
 
     def decide():
@@ -156,7 +156,7 @@
         )
         placed = scheduler.place(work, endpoints, PROFILE, 10.0 * number)
         assert isinstance(placed, Placement)
-        scheduler.note_stage(JobStage(work.job, is_ended=True), 10.0 * number)
+        scheduler.record_stage(JobStage(work.job, is_ended=True), 10.0 * number)
 
     return decide
 
