--- a/src/scalebend/core/gateway/placement_choice.py
+++ b/src/scalebend/core/gateway/placement_choice.py
@@ -385,8 +385,8 @@
 ) -> Placement | Declined:
     """Place a prompt that cannot be on time, or decline it.
 
-    It runs on a few idle replicas so that the others stay free: a late response is worth
-    the same at any time before its deadline.
+    It runs on a few idle replicas so that the others stay free: a late response is
+    worth the same at any time before its deadline.
     """
     late_by = placement.first_token_in - plan.work.target
     declined = Declined(max(MIN_LATE_RETRY_S, min(late_by, MAX_LATE_RETRY_S)))
--- a/tests/lib/gateway_load.py
+++ b/tests/lib/gateway_load.py
@@ -1,18 +1,22 @@
-"""Callers of the gateway's processes, and replicas that go on registering."""
+"""Concurrent callers of the gateway, and replicas that keep their registration."""
 
 import asyncio
 import contextlib
 import time
 
 FRONT = "X-Of-Front"
-"""Header by which a replica learns which front sent a request; fronts pass it on."""
+"""Header that fronts pass on; it tells a replica which front sent a request."""
 
 
 class Load:
-    """Callers that ask all the time, at some fronts, and what they were told."""
+    """Callers that send requests in a loop, and the responses they got."""
 
     def __init__(self, system, kind, callers, *, rest=0.0, most_pause, **headers):
-        """``rest`` is between two calls, ``most_pause`` after a refusal; in seconds."""
+        """Set the wait after a response, in seconds: ``rest``, or `Retry-After` after a
+        503.
+
+        ``most_pause`` bounds the latter.
+        """
         self.system = system
         self.kind = kind
         self.callers = callers
@@ -49,7 +53,7 @@
 
 @contextlib.asynccontextmanager
 async def keep_registered(system):
-    """Replicas register now and then: those that say nothing for long count as gone."""
+    """Renew the registrations of all replicas, which otherwise expire."""
 
     async def register():
         while True:
--- a/tests/unit/gateway/test_engine_scheduler.py
+++ b/tests/unit/gateway/test_engine_scheduler.py
@@ -1,4 +1,4 @@
-"""Placement: gaps of writers, sharing, lost fronts, slow replicas, and overload."""
+"""Placement with open jobs, lost fronts, slow replicas and overload."""
 
 from collections import Counter
 
@@ -39,29 +39,29 @@
 
 
 def start(scheduler, work, now=0.0):
-    """Place work and see its first token."""
+    """Place work and record its first token."""
     placement = place(scheduler, work, now)
     scheduler.record_stage(JobStage(work.job, is_ended=False), now)
     return placement
 
 
-def test_reading_time_of_the_sheet():
+def test_prefill_time_of_the_engine_profile():
     times = [compute_prefill_time(PROFILE, p) for p in (5_000, 45_000, 210_000)]
     assert times == pytest.approx([0.0207, 0.2686, 2.842], rel=0.01)
 
 
-def test_pass_without_writers_takes_no_steps():
+def test_batch_step_without_decoding_takes_no_time():
     assert compute_batch_step_time(PROFILE, []) == 0.0
     assert 0.042 < compute_batch_step_time(PROFILE, [5_000]) < 0.045
 
 
-def test_quick_requests_share_as_few_replicas_as_have_slots():
+def test_quick_requests_are_packed_on_few_replicas():
     scheduler = EngineScheduler()
     used = {start(scheduler, build_quick(n)).upstream for n in range(24)}
     assert len(used) == 3
 
 
-def test_long_prompt_avoids_replicas_that_write_for_quick_requests():
+def test_long_prompt_avoids_replicas_with_quick_requests():
     scheduler = EngineScheduler()
     quick = {start(scheduler, build_quick(n)).upstream for n in range(12)}
     placement = place(scheduler, build_work("long", 210_000))
@@ -76,7 +76,7 @@
         max_size=40,
     )
 )
-def test_reading_keeps_below_the_event_gap_while_all_are_in_time(sizes):
+def test_prefill_stays_below_the_event_gap_while_all_are_on_time(sizes):
     scheduler = EngineScheduler()
     parts = {}
     gaps = {}
@@ -89,15 +89,15 @@
         start = placement.start_in
         for upstream in placement.upstreams:
             others = parts.setdefault(upstream, [])
-            # What is read at the same time falls into one pass, turns do not.
-            beside = [p for s, p in others if s < start + part and start < s + p]
+            # Parts that overlap in time share a batch step, consecutive ones do not.
+            overlapping = [p for s, p in others if s < start + part and start < s + p]
             others.append((start, part))
             if upstream in gaps:
-                assert part + sum(beside) <= gaps[upstream]
+                assert part + sum(overlapping) <= gaps[upstream]
         gaps[placement.upstream] = min(gap, gaps.get(placement.upstream, gap))
 
 
-def test_jobs_of_a_lost_front_are_forgotten():
+def test_jobs_of_a_lost_front_are_removed():
     front = InstanceId("10.1.0.1:7000")
     scheduler = EngineScheduler()
     for number in range(144):
@@ -109,12 +109,12 @@
     assert place(scheduler, build_quick("next")).first_token_in < 0.1
 
 
-def test_front_with_a_longer_address_is_another():
+def test_job_of_a_front_with_a_longer_address_is_not_matched():
     job = build_job_id(InstanceId("10.1.0.11:7000"), 7, 1)
     assert not is_job_of(InstanceId("10.1.0.1:7000"), job)
 
 
-def test_job_whose_end_was_not_heard_is_forgotten_after_its_deadline():
+def test_job_without_a_reported_end_is_removed_after_its_deadline():
     scheduler = EngineScheduler()
     place(scheduler, build_quick(1, remaining=2.0))
     scheduler.expire(2.5)
@@ -130,8 +130,8 @@
         assert placement.helpers == ()
 
 
-def test_late_first_tokens_alone_make_no_replica_slow():
-    # A pace learnt from its own prediction once fed itself until nothing fitted.
+def test_late_first_tokens_do_not_mark_a_replica_as_slow():
+    # A pace derived from predictions would reinforce itself until nothing fits.
     scheduler = EngineScheduler()
     for number in range(100):
         work = build_quick(number)
@@ -141,7 +141,7 @@
     assert place(scheduler, build_quick("next"), now=200.0).first_token_in < 0.1
 
 
-def test_slow_replica_is_avoided_until_its_word_is_old():
+def test_slow_replica_is_avoided_until_its_report_expires():
     scheduler = EngineScheduler()
     first = place(scheduler, build_quick(1))
     scheduler.record_stage(JobStage("front-1-1", is_ended=True), 0.1)
@@ -164,15 +164,15 @@
     assert isinstance(place(scheduler, build_quick("last"), 0.2, pair), Placement)
 
 
-def test_prompt_larger_than_one_memory_is_spread_over_reservations():
+def test_prompt_larger_than_one_kv_cache_reserves_memory_on_helpers():
     placement = place(EngineScheduler(), build_work("giant", 700_000))
-    held = sum(helper.tokens for helper in placement.helpers)
-    own = 700_000 + 1_600 - held
+    helper_tokens = sum(helper.tokens for helper in placement.helpers)
+    own = 700_000 + 1_600 - helper_tokens
     assert 0 < own <= PROFILE.memory_tokens
     assert all(h.tokens <= PROFILE.memory_tokens for h in placement.helpers)
 
 
-def test_giant_prompts_leave_places_for_quick_requests():
+def test_long_prompts_leave_slots_for_quick_requests():
     scheduler = EngineScheduler()
     for number in range(16):
         start(scheduler, build_quick(number))
@@ -183,7 +183,7 @@
         assert placement.first_token_in < 0.3
 
 
-def test_giant_prompt_that_would_be_late_is_declined():
+def test_long_prompt_that_would_be_late_is_declined():
     scheduler = EngineScheduler()
     outcomes = [place(scheduler, build_work(n, 690_000)) for n in range(4)]
     declined = [outcome for outcome in outcomes if isinstance(outcome, Declined)]
@@ -192,13 +192,13 @@
     assert all(0.0 < outcome.retry_after <= 2.0 for outcome in declined)
 
 
-def test_short_read_is_never_declined():
+def test_short_prefill_is_never_declined():
     scheduler = EngineScheduler()
     for number in range(100):
         assert isinstance(place(scheduler, build_work(number, 45_000)), Placement)
 
 
-def test_next_leader_learns_what_is_open():
+def test_next_leader_adopts_open_jobs():
     old = EngineScheduler()
     work = build_work("long", 210_000)
     placement = place(old, work)
@@ -208,7 +208,7 @@
     assert busy == {placement.upstream, *(h.upstream for h in placement.helpers)}
 
 
-def test_fronts_deciding_alone_spread_and_use_small_parts():
+def test_uncoordinated_fronts_spread_jobs_and_use_small_parts():
     fronts = [EngineScheduler(f"front-{n}", UNCOORDINATED_MAX_PART_S) for n in range(9)]
     firsts = [place(front, build_quick(n)).upstream for n, front in enumerate(fronts)]
     assert len(set(firsts)) >= 5
@@ -216,7 +216,7 @@
     assert len(placement.helpers) == 1
 
 
-def test_front_alone_avoids_what_the_lost_leader_told_of():
+def test_uncoordinated_front_avoids_load_that_the_lost_leader_reported():
     leader = EngineScheduler()
     placement = place(leader, build_work("long", 210_000))
     front = EngineScheduler("front")
@@ -226,32 +226,32 @@
         assert place(front, build_quick(number), 0.01).upstream not in reading
 
 
-def test_jobs_of_a_front_that_is_cut_off_take_slots_too():
+def test_jobs_of_a_disconnected_front_count_against_the_slots():
     scheduler = EngineScheduler()
     first = place(scheduler, build_quick(1))
     scheduler.record_stage(JobStage("front-1-1", is_ended=False, load=7), 0.1)
     second = place(scheduler, build_quick(2), 0.1)
     assert second.upstream != first.upstream
     scheduler.record_stage(JobStage("front-1-2", is_ended=True), 0.2)
-    # What was told once is not believed for long.
+    # The replica's count expires.
     old = 0.1 + UNKNOWN_JOBS_TTL_S
     assert place(scheduler, build_quick(3), old - 0.1).upstream != first.upstream
     assert place(scheduler, build_quick(4), old).upstream == first.upstream
 
 
-def test_parts_of_long_prompts_take_turns_on_a_replica():
-    # A part that comes later is read before those that wait: none may wait there.
+def test_parts_of_long_prompts_are_scheduled_one_after_another():
+    # An engine prefills the newest part first, so no part may queue on a replica.
     scheduler = EngineScheduler()
-    turns = {}
+    ends = {}
     for number in range(6):
         placement = place(scheduler, build_work(number, 270_000, target=10.0))
         part = compute_prefill_time(PROFILE, 270_000) / (1 + len(placement.helpers))
         for upstream in (placement.upstream, *(h.upstream for h in placement.helpers)):
-            assert placement.start_in >= turns.get(upstream, 0.0) - 1e-9
-            turns[upstream] = placement.start_in + part
+            assert placement.start_in >= ends.get(upstream, 0.0) - 1e-9
+            ends[upstream] = placement.start_in + part
 
 
-def test_long_prompt_in_its_turn_is_predicted_with_the_pause():
+def test_predicted_first_token_includes_the_scheduled_wait():
     scheduler = EngineScheduler()
     first = place(scheduler, build_work(1, 270_000))
     while first.start_in == 0.0:
@@ -263,13 +263,13 @@
 
 
 FLEET = [build_endpoint(number) for number in range(1, 61)]
-CROWD = 210
+OPEN_QUICK_REQUESTS = 210
 
 
-def build_crowd():
-    """A leader with many quick requests open, and fronts that it told of them."""
+def build_loaded_leader():
+    """Build a leader with many open quick requests, and fronts that have its report."""
     leader = EngineScheduler()
-    for number in range(CROWD):
+    for number in range(OPEN_QUICK_REQUESTS):
         place(leader, build_quick(number), endpoints=FLEET)
     fronts = [
         EngineScheduler(f"front-{n}", UNCOORDINATED_MAX_PART_S) for n in range(80)
@@ -279,7 +279,7 @@
     return leader, fronts
 
 
-def test_front_alone_does_not_send_jobs_in_a_row_to_one_replica():
+def test_uncoordinated_front_spreads_consecutive_jobs():
     endpoints = tuple(build_endpoint(number) for number in range(1, 151))
     for front in range(10):
         scheduler = EngineScheduler(f"front-{front}", UNCOORDINATED_MAX_PART_S)
@@ -288,11 +288,11 @@
         assert len(set(chosen)) >= 3
 
 
-def test_fronts_deciding_alone_do_not_all_take_the_idle_replicas():
-    leader, fronts = build_crowd()
+def test_uncoordinated_fronts_do_not_overfill_idle_replicas():
+    leader, fronts = build_loaded_leader()
     busy = leader.list_busy(0.0, len(FLEET))
     load = Counter({one.upstream: one.writing for one in busy})
-    # About half a second without a leader.
+    # One request per front.
     for number, front in enumerate(fronts):
         load[place(front, build_quick(f"a{number}"), 0.1, FLEET).upstream] += 1
     overfull = sum(count > PROFILE.slots for count in load.values())
--- a/tests/unit/gateway/test_placement_repair.py
+++ b/tests/unit/gateway/test_placement_repair.py
@@ -1,4 +1,4 @@
-"""Placements whose replicas begin to leave before their turn."""
+"""Placements whose replicas start to drain before the prefill starts."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -18,31 +18,31 @@
 
 
 @given(st.integers(0, 16), st.sets(st.integers(0, 16)))
-def test_who_leaves_reads_nothing_and_who_stays_keeps_the_time(helpers, gone):
+def test_remaining_replicas_take_over_and_keep_the_start(helpers, drained):
     placement = build_placement(helpers)
-    left = {f"i-{n}" for n in gone} & set(placement.upstreams)
-    kept = drop_replicas(placement, left)
-    staying = [one for one in placement.upstreams if one not in left]
-    if len(staying) < MIN_REMAINING_SHARE * (1 + helpers):
-        assert kept is None
+    draining = {f"i-{n}" for n in drained} & set(placement.upstreams)
+    repaired = drop_replicas(placement, draining)
+    remaining = [one for one in placement.upstreams if one not in draining]
+    if len(remaining) < MIN_REMAINING_SHARE * (1 + helpers):
+        assert repaired is None
         return
-    assert sorted(kept.upstreams) == sorted(staying)
-    assert kept.address == f"address-{kept.upstream.removeprefix('i-')}"
-    assert kept.start_in == placement.start_in
-    expected = (1 + helpers) / len(staying)
-    assert kept.first_token_in - kept.start_in == pytest.approx(expected)
+    assert sorted(repaired.upstreams) == sorted(remaining)
+    assert repaired.address == f"address-{repaired.upstream.removeprefix('i-')}"
+    assert repaired.start_in == placement.start_in
+    expected = (1 + helpers) / len(remaining)
+    assert repaired.first_token_in - repaired.start_in == pytest.approx(expected)
 
 
-def test_planned_memory_that_leaves_makes_it_void():
+def test_draining_helper_with_reserved_memory_voids_the_placement():
     placement = build_placement(4, tokens=1_000)
     assert drop_replicas(placement, {"i-2"}) is None
 
 
-def test_who_holds_memory_for_another_does_not_become_the_writer():
+def test_helper_with_reserved_memory_does_not_become_the_lead():
     assert drop_replicas(build_placement(4, tokens=1_000), {"i-0"}) is None
 
 
-def test_another_replica_writes_if_the_first_leaves():
-    kept = drop_replicas(build_placement(4), {"i-0"})
-    assert kept.upstream == "i-1"
-    assert [helper.upstream for helper in kept.helpers] == ["i-2", "i-3", "i-4"]
+def test_helper_becomes_the_lead_if_the_lead_drains():
+    repaired = drop_replicas(build_placement(4), {"i-0"})
+    assert repaired.upstream == "i-1"
+    assert [helper.upstream for helper in repaired.helpers] == ["i-2", "i-3", "i-4"]
--- a/tests/unit/gateway/test_tired_engines.py
+++ b/tests/unit/gateway/test_rejecting_engines.py
@@ -1,9 +1,7 @@
-"""Engines that turn away all fronts at once, under a load of quick prompts.
+"""Engines that reject requests of all fronts, under a load of quick prompts.
 
-An engine that turns all away runs nothing, so it was the first choice for the next
-request, of the same front and of all others: 74 were turned away in 6 s, and 22 callers
-that met three such engines in a row were refused. Those that ask for a pause do so of
-each front by itself, so each of 40 found out by itself. Virtual time, no network.
+An engine that rejects everything is idle; it must not stay the first choice of every
+front. Virtual time, no network.
 """
 
 import random
@@ -18,31 +16,31 @@
 
 FRONTS = 40
 ENGINES = 18
-TIRED = 3
-RATE = 30.0
-"""Quick prompts a second over all fronts."""
+REJECTING = 3
+PROMPTS_PER_S = 30.0
+"""Quick prompts per second over all fronts."""
 
-PAUSE = 3.0
-WRITING = 3.0
-TIRED_TIME = 6.0
+RETRY_AFTER_S = 3.0
+DECODE_TIME_S = 3.0
+REJECTING_TIME_S = 6.0
 
 
-class TiredLoad:
-    """Quick prompts at random moments; some engines turn all of them away."""
+class RejectedLoad:
+    """Quick prompts at random times; some engines reject all of them."""
 
     def __init__(self, deployment, seed, pause):
         self.deployment = deployment
         self.pause = pause
-        self.chance = random.Random(seed)
-        self.tired = []
+        self.random = random.Random(seed)
+        self.rejecting = []
         self.rejections = 0
-        self.refused = 0
+        self.declined = 0
         self._count = 0
         self._open = []
-        self._next = self._renew_at = deployment.now
+        self._next_arrival = self._next_renewal = deployment.now
 
-    def list_used(self):
-        """Engines that run something, in the order of their names."""
+    def list_busy_engines(self):
+        """List the engines with open jobs, sorted by name."""
         return sorted({one[3] for one in self._open})
 
     def run(self, seconds):
@@ -50,18 +48,18 @@
         while self.deployment.now < end:
             self.deployment.run(0.01)
             now = self.deployment.now
-            if now >= self._renew_at:
-                self._renew_at = now + 1.0
+            if now >= self._next_renewal:
+                self._next_renewal = now + 1.0
                 self.deployment.renew()
-            while self._next <= now:
-                self._next += self.chance.expovariate(RATE)
+            while self._next_arrival <= now:
+                self._next_arrival += self.random.expovariate(PROMPTS_PER_S)
                 self._arrive()
             for one in [one for one in self._open if one[0] <= now]:
                 self._open.remove(one)
                 self.deployment.record_stage(one[1], one[2], is_ended=True)
 
     def _arrive(self):
-        front = self.chance.choice(self.deployment.fronts)
+        front = self.random.choice(self.deployment.fronts)
         excluded = ()
         for _ in range(MOST_REJECTIONS):
             self._count += 1
@@ -69,8 +67,8 @@
             placed = self.deployment.place(front, work)
             if not isinstance(placed, Placement):
                 break
-            if placed.upstream not in self.tired:
-                ending = self.deployment.now + WRITING
+            if placed.upstream not in self.rejecting:
+                ending = self.deployment.now + DECODE_TIME_S
                 self._open.append((ending, front, work.job, placed.upstream))
                 self.deployment.record_stage(front, work.job, is_ended=False)
                 return
@@ -80,18 +78,18 @@
             if self.pause:
                 front.backoffs.hear(placed.upstream, self.pause, self.deployment.now)
             excluded = (*excluded, placed.upstream)
-        self.refused += 1
+        self.declined += 1
 
 
-@pytest.mark.parametrize("pause", [None, PAUSE])
+@pytest.mark.parametrize("pause", [None, RETRY_AFTER_S])
 @pytest.mark.parametrize("seed", [0, 1, 4])
-def test_engine_that_turns_all_fronts_away_is_found_out_once_a_second(seed, pause):
+def test_rejecting_engine_is_tried_once_per_avoid_time(seed, pause):
     deployment = build_deployment(FRONTS, ENGINES, has_engines=True)
-    load = TiredLoad(deployment, seed, pause)
+    load = RejectedLoad(deployment, seed, pause)
     load.run(5.0)
-    load.tired = load.list_used()[:TIRED]
-    load.run(TIRED_TIME)
-    assert len(load.tired) == TIRED
-    assert 0 < load.rejections <= TIRED * TIRED_TIME / REJECTION_AVOID_S
-    # The others have room for all: only who meets three tired ones in a row comes back.
-    assert load.refused <= 2
+    load.rejecting = load.list_busy_engines()[:REJECTING]
+    load.run(REJECTING_TIME_S)
+    assert len(load.rejecting) == REJECTING
+    assert 0 < load.rejections <= REJECTING * REJECTING_TIME_S / REJECTION_AVOID_S
+    # Only a request that reaches all rejecting engines in a row is declined.
+    assert load.declined <= 2
--- a/tests/unit/gateway/test_replica_pool.py
+++ b/tests/unit/gateway/test_replica_pool.py
@@ -1,8 +1,6 @@
-"""The ordered pool of replicas chooses what a look at each replica would choose.
+"""The replica pool chooses what an examination of every replica would choose.
 
-The pattern: hundreds of replicas, quick prompts by the hundred each second, and a
-leader with one small core for all choices. ``tests/unit/test_decision_cost.py`` shows
-what a choice costs; here, that nothing is lost by looking at few replicas.
+The cost of a choice is covered by ``tests/unit/test_decision_cost.py``.
 """
 
 import msgspec
@@ -45,7 +43,7 @@
 
 
 class Fleet:
-    """A scheduler, and what its pool is asked for."""
+    """A scheduler and the steps that change its state."""
 
     def __init__(self):
         self.scheduler = EngineScheduler()
@@ -72,8 +70,8 @@
             case "slow":
                 scheduler.record_pace(ReplicaPace(UpstreamId(f"i-{value}"), 1.8), now)
             case "leaves":
-                gone = build_endpoint(value)
-                self.endpoints = tuple(e for e in self.endpoints if e != gone)
+                removed = build_endpoint(value)
+                self.endpoints = tuple(e for e in self.endpoints if e != removed)
             case "wait":
                 self.now += value
 
@@ -87,31 +85,33 @@
         pool.refresh(self.endpoints, PROFILE, self.scheduler._replicas, self.now)
         return pool
 
-    def build_anew(self):
+    def build_new_pool(self):
         pool = ReplicaPool(self.scheduler._rank)
         pool.refresh(self.endpoints, PROFILE, self.scheduler._replicas, self.now)
         return pool
 
 
-def order(views):
+def sort_by_upstream(views):
     return sorted(views, key=lambda view: view.endpoint.upstream)
 
 
 @given(STEPS)
-def test_kept_views_are_those_built_anew(steps):
+def test_kept_views_equal_rebuilt_views(steps):
     fleet = Fleet()
     for step in steps:
         fleet.apply(*step)
-        kept, anew = fleet.refresh(), fleet.build_anew()
-        assert order(kept.list_views()) == order(anew.list_views())
-        assert kept.quick_jobs == anew.quick_jobs
-        assert kept.quick_replicas == anew.quick_replicas
-        assert set(kept.list_occupancies()) == set(anew.list_occupancies())
-        assert kept.count_without_prefill(IDLE) == anew.count_without_prefill(IDLE)
+        kept, rebuilt = fleet.refresh(), fleet.build_new_pool()
+        assert sort_by_upstream(kept.list_views()) == sort_by_upstream(
+            rebuilt.list_views()
+        )
+        assert kept.quick_jobs == rebuilt.quick_jobs
+        assert kept.quick_replicas == rebuilt.quick_replicas
+        assert set(kept.list_occupancies()) == set(rebuilt.list_occupancies())
+        assert kept.count_without_prefill(IDLE) == rebuilt.count_without_prefill(IDLE)
 
 
 @given(STEPS, st.sampled_from([(5_000, 0.3, 0.2), (20_000, 1.0, 0.5)]))
-def test_choice_by_occupancy_is_that_of_a_look_at_all(steps, size):
+def test_choice_by_occupancy_equals_choice_among_all(steps, size):
     fleet = Fleet()
     for step in steps:
         fleet.apply(*step)
@@ -143,7 +143,7 @@
 
 @settings(max_examples=20)
 @given(st.integers(0, 400))
-def test_long_prompt_finds_its_group_among_hundreds_of_busy_replicas(quick):
+def test_long_prompt_finds_a_group_among_hundreds_of_busy_replicas(quick):
     fleet = Fleet()
     fleet.endpoints = tuple(build_endpoint(number) for number in range(1, 301))
     for _ in range(quick):
@@ -156,13 +156,13 @@
     assert placed.first_token_in < 1.0
 
 
-def test_replica_without_a_word_is_idle():
+def test_replica_without_reports_is_idle():
     pool = ReplicaPool(lambda upstream: len(upstream))
     pool.refresh(ENDPOINTS[:1], PROFILE, {}, 0.0)
     assert pool.count_without_prefill(IDLE) == 1
 
 
-def test_unsound_replicas_are_used_when_there_is_no_other():
+def test_unhealthy_replicas_are_used_when_there_is_no_other():
     load = ReplicaLoad()
     load.record_failure(0.0)
     pool = ReplicaPool(lambda upstream: 1)
@@ -175,7 +175,7 @@
     assert pool.has_healthy
 
 
-def test_list_that_is_changed_in_place_is_looked_at_again():
+def test_endpoint_list_changed_in_place_is_detected():
     scheduler = EngineScheduler()
     endpoints = list(ENDPOINTS[:2])
     first = scheduler.place(build_quick(1), endpoints, PROFILE, 0.0)
@@ -185,12 +185,12 @@
 
 
 @pytest.mark.parametrize("change", [{"slots": 3}, {"memory_tokens": 90_000}])
-def test_another_engine_profile_is_looked_at_again(change):
+def test_changed_engine_profile_rebuilds_views(change):
     fleet = Fleet()
     fleet.apply("place", SIZES[0])
     other = msgspec.structs.replace(PROFILE, **change)
     pool = fleet.refresh()
     pool.refresh(fleet.endpoints, other, fleet.scheduler._replicas, 0.0)
-    anew = ReplicaPool(fleet.scheduler._rank)
-    anew.refresh(fleet.endpoints, other, fleet.scheduler._replicas, 0.0)
-    assert order(pool.list_views()) == order(anew.list_views())
+    rebuilt = ReplicaPool(fleet.scheduler._rank)
+    rebuilt.refresh(fleet.endpoints, other, fleet.scheduler._replicas, 0.0)
+    assert sort_by_upstream(pool.list_views()) == sort_by_upstream(rebuilt.list_views())
--- a/tests/unit/gateway/test_suspects_apart.py
+++ b/tests/unit/gateway/test_suspect_isolation.py
@@ -1,7 +1,6 @@
-"""Requests that lost their replica are placed apart, so that one does not end them all.
+"""Suspect requests are isolated from each other, so that one does not crash them all.
 
-Quick prompts share as few replicas as they can. When a replica ended, those that it ran
-were placed anew together on the next one, the cause among them: most were lost twice.
+Requests of a crashed replica must not be packed on one replica again.
 """
 
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
@@ -14,7 +13,7 @@
 )
 
 REPLICAS = 18
-VICTIMS = 8
+SUSPECTS = 8
 
 
 def build_endpoints(count=REPLICAS):
@@ -25,37 +24,37 @@
     return scheduler.place(work, endpoints, PROFILE, now)
 
 
-def lose_a_replica(scheduler, endpoints):
-    """Quick prompts that share a replica, which ends; return it."""
-    jobs = [build_quick(number).job for number in range(VICTIMS)]
+def crash_replica(scheduler, endpoints):
+    """Place quick prompts on one replica, which crashes, and return it."""
+    jobs = [build_quick(number).job for number in range(SUSPECTS)]
     placed = []
     for number, job in enumerate(jobs):
         now = 0.15 * number
         placed.append(place(scheduler, endpoints, build_quick(number), now))
         scheduler.record_stage(JobStage(job, is_ended=False), now + 0.1)
-    (lost,) = {one.upstream for one in placed}
+    (crashed,) = {one.upstream for one in placed}
     for job in jobs:
         scheduler.forget(job)
-    return lost
+    return crashed
 
 
-def build_suspect(number, lost, **changes):
-    return build_quick(number, excluded=(lost,), is_suspect=True, **changes)
+def build_suspect(number, crashed, **changes):
+    return build_quick(number, excluded=(crashed,), is_suspect=True, **changes)
 
 
-def test_victims_of_a_replica_do_not_meet_again():
+def test_requests_of_a_crashed_replica_are_placed_on_different_replicas():
     scheduler = EngineScheduler()
     endpoints = build_endpoints()
-    lost = lose_a_replica(scheduler, endpoints)
+    crashed = crash_replica(scheduler, endpoints)
     placed = [
-        place(scheduler, endpoints, build_suspect(100 + number, lost), now=2.0)
-        for number in range(VICTIMS)
+        place(scheduler, endpoints, build_suspect(100 + number, crashed), now=2.0)
+        for number in range(SUSPECTS)
     ]
-    assert len({one.upstream for one in placed}) == VICTIMS
-    assert lost not in {one.upstream for one in placed}
+    assert len({one.upstream for one in placed}) == SUSPECTS
+    assert crashed not in {one.upstream for one in placed}
 
 
-def test_suspect_is_kept_from_replicas_that_run_much():
+def test_suspect_avoids_busy_replicas():
     scheduler = EngineScheduler()
     endpoints = build_endpoints()
     busy = {place(scheduler, endpoints, build_quick(n)).upstream for n in range(20)}
@@ -63,7 +62,7 @@
     assert suspect.upstream not in busy
 
 
-def test_suspects_share_a_replica_before_they_are_refused():
+def test_suspects_share_a_replica_rather_than_being_declined():
     scheduler = EngineScheduler()
     endpoints = build_endpoints(2)
     for number in range(6):
@@ -72,7 +71,7 @@
         )
 
 
-def test_long_suspect_is_read_away_from_other_suspects():
+def test_long_suspect_is_isolated_from_other_suspects():
     scheduler = EngineScheduler()
     endpoints = build_endpoints()
     quick = place(scheduler, endpoints, build_suspect(1, "i-gone"))
@@ -82,7 +81,7 @@
     assert other.upstream not in {quick.upstream, *long.upstreams}
 
 
-def test_what_ended_is_no_suspect_any_more():
+def test_ended_suspect_no_longer_occupies_a_replica():
     scheduler = EngineScheduler()
     endpoints = build_endpoints(3)
     first = place(scheduler, endpoints, build_suspect(1, "i-gone"))
--- a/tests/unit/test_decision_cost.py
+++ b/tests/unit/test_decision_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of deciding one request; `make measure-decisions` prints it.
+"""Processor time of the decisions for one request; see `make measure-decisions`.
 
 In the usual run each benchmark is called once, so nothing depends on the clock.
 """
@@ -34,7 +34,7 @@
 
 @pytest.fixture(autouse=True)
 def drop_log_lines():
-    """What a line costs depends on where it goes: the decision alone is measured."""
+    """Drop log lines, whose cost depends on the output."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(50),
         cache_logger_on_first_use=True,
@@ -73,7 +73,7 @@
 
 
 def build_decision(upstreams, models, customers, zones):
-    """Route, reserve, grant, move, finish: all decisions of one request."""
+    """Build a function that makes all decisions for one request."""
     instance = build_instance(upstreams, models, customers, zones)
     entry = instance.entry
     names = itertools.count()
@@ -104,15 +104,15 @@
     return decide
 
 
-def test_decision_at_twenty_replicas(benchmark):
+def test_decision_with_twenty_replicas(benchmark):
     benchmark(build_decision(20, 1, 10, 3))
 
 
-def test_decision_at_six_hundred_replicas_and_two_thousand_customers(benchmark):
+def test_decision_with_six_hundred_replicas_and_two_thousand_customers(benchmark):
     benchmark(build_decision(600, 8, 2_000, 6))
 
 
-def test_grant_at_the_owner_with_two_thousand_waiting(benchmark):
+def test_grant_at_the_owner_with_two_thousand_pending(benchmark):
     from scalebend.core.owner import ReplicaOwner
     from scalebend.core.queueing import STRATEGIES
     from scalebend.core.shares import ShareLedger
@@ -138,8 +138,8 @@
     benchmark(decide)
 
 
-def build_placing(replicas, prompt, target, event_gap):
-    """Place one prompt more among two quick ones open for each replica."""
+def build_placement(replicas, prompt, target, event_gap):
+    """Build a function that places one prompt beside two quick jobs per replica."""
     endpoints = tuple(build_endpoint(number) for number in range(replicas))
     scheduler = EngineScheduler()
     for number in range(2 * replicas):
@@ -150,7 +150,7 @@
 
     def decide():
         number = next(numbers)
-        # Those before have read what they had to, and have ended.
+        # Earlier prompts have ended by then.
         work = build_gateway_work(
             f"next-{number}", prompt, target=target, event_gap=event_gap
         )
@@ -167,4 +167,4 @@
     [(5_000, 0.3, 0.2), (45_000, 1.5, 0.5), (210_000, 3.0, 0.8)],
 )
 def test_placement_among_replicas(benchmark, replicas, prompt, target, event_gap):
-    benchmark(build_placing(replicas, prompt, target, event_gap))
+    benchmark(build_placement(replicas, prompt, target, event_gap))
