--- a/src/scalebend/core/flow.py
+++ b/src/scalebend/core/flow.py
@@ -128,7 +128,7 @@
 class FlowState(Enum):
     """What an admitted request is waiting for.
 
-    ``TRANSFERRING``: prefill is done, and the request waits for a grant of a decode engine.
+    ``TRANSFERRING``: prefill is done, and the decode engine's grant is pending.
     """
 
     RESERVING = "reserving"
