--- a/src/scalebend/core/catalog.py
+++ b/src/scalebend/core/catalog.py
@@ -1,4 +1,4 @@
-"""Upstreams as this instance knows them: announcements, load digests, liveness."""
+"""Catalog of the known upstreams: announcements, load digests, expiry."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class UpstreamRecord(Candidate, kw_only=True):
-    """One upstream; ``heard`` is when its last announcement reached any instance."""
+    """One upstream; ``heard`` is the time its last announcement was received."""
 
     announcement: Announcement
     heard: float
 
 
-class _Need(NamedTuple):
-    """What requests have in common that the same upstreams can take."""
+class _CandidateKey(NamedTuple):
+    """What a request asks for: equal keys have the same candidates."""
 
     service: ServiceName | None
     model: ModelName | None
@@ -40,7 +40,7 @@
 
 
 def build_view(announcement: Announcement) -> ReplicaView:
-    """Return the static facts that routing needs."""
+    """Return the static properties of an upstream that routing needs."""
     return ReplicaView(
         upstream=announcement.upstream,
         availability_zone=announcement.availability_zone,
@@ -52,7 +52,7 @@
 
 
 def check_announcement(announcement: Announcement) -> None:
-    """Raise :class:`DocumentError` for values that cannot be true."""
+    """Raise :class:`DocumentError` for invalid values."""
     faults = []
     if not announcement.upstream:
         faults.append(Fault("$.upstream", "expected a name"))
@@ -68,14 +68,14 @@
         faults.append(Fault("$.step_time", "expected seconds above 0 and below 60"))
     if not 0.0 < announcement.prefill_rate <= MOST_RATE:
         faults.append(Fault("$.prefill_rate", "expected tokens a second above 0"))
-    faults += _check_family(announcement)
+    faults += _check_memory_and_service(announcement)
     if min(msgspec.structs.astuple(announcement.load)) < 0:
         faults.append(Fault("$.load", "expected numbers from 0"))
     if faults:
         raise DocumentError(faults, kind=ErrorKind.INVALID_ANNOUNCEMENT)
 
 
-def _check_family(announcement: Announcement) -> list[Fault]:
+def _check_memory_and_service(announcement: Announcement) -> list[Fault]:
     match announcement.family:
         case UpstreamKindName.ENGINE:
             if 1 <= announcement.memory_tokens <= MOST_MEMORY_TOKENS:
@@ -89,28 +89,31 @@
 
 
 def build_idle_digest(view: ReplicaView) -> LoadDigest:
-    """Return the digest of a replica that holds nothing."""
+    """Return the load digest of an idle replica."""
     return LoadDigest(view.upstream, (), 0, view.memory_tokens, 0, ())
 
 
 class Catalog:
-    """All upstreams heard of within ``timeout`` seconds, indexed for routing."""
+    """Known upstreams, indexed for routing.
+
+    An upstream expires ``timeout`` seconds after its last announcement.
+    """
 
     def __init__(self, timeout: float) -> None:
         self.timeout = timeout
         self._records: dict[UpstreamId, UpstreamRecord] = {}
         self._by_model: dict[ModelName, set[UpstreamId]] = {}
         self._by_service: dict[ServiceName, set[UpstreamId]] = {}
-        self._local_zones: set[AvailabilityZone] | None = None
-        # Kept until an upstream comes, goes or changes what it serves; digests
-        # change inside the records.
-        self._candidates: dict[_Need, list[Candidate]] = {}
+        self._local_availability_zones: set[AvailabilityZone] | None = None
+        # Cached until an upstream is added, removed or changes what it serves.
+        # New digests are seen at once, as the records are shared.
+        self._candidates: dict[_CandidateKey, list[Candidate]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def summarise(self) -> int:
-        """A number that two catalogs share if they know the same incarnations."""
+        """Return a number that is equal for catalogs with the same incarnations."""
         summary = 0
         for upstream, record in self._records.items():
             name = f"{upstream}/{record.announcement.incarnation}"
@@ -121,11 +124,11 @@
         return iter(list(self._records.values()))
 
     def get(self, upstream: UpstreamId) -> UpstreamRecord | None:
-        """The upstream's record, or ``None`` when it is not known."""
+        """Return the upstream's record, or ``None`` if it is unknown."""
         return self._records.get(upstream)
 
     def take_announcement(self, announcement: Announcement, heard: float) -> bool:
-        """Store an announcement; return ``False`` when a newer one is known."""
+        """Apply an announcement; return ``False`` if a newer one is known."""
         record = self._records.get(announcement.upstream)
         view = build_view(announcement)
         if record is None:
@@ -140,8 +143,8 @@
             self._index(announcement)
             return True
         known = record.announcement
-        news = (announcement.incarnation, announcement.sequence)
-        if news < (known.incarnation, known.sequence):
+        update = (announcement.incarnation, announcement.sequence)
+        if update < (known.incarnation, known.sequence):
             return False
         record.heard = max(record.heard, heard)
         if announcement.incarnation > known.incarnation:
@@ -157,39 +160,41 @@
         return True
 
     def take_digest(self, digest: LoadDigest) -> None:
-        """Store a load digest of a known upstream."""
+        """Apply a load digest; ignored for an unknown upstream."""
         record = self._records.get(digest.upstream)
         if record is not None:
             record.digest = digest
 
     def remove(self, upstream: UpstreamId) -> None:
-        """Drop an upstream that is gone."""
+        """Remove an upstream, if known."""
         record = self._records.pop(upstream, None)
         if record is not None:
             self._unindex(record.announcement)
 
     def is_silent(self, upstream: UpstreamId, now: float) -> bool:
-        """Whether the upstream announced nothing for too long."""
+        """Return whether a known upstream's last announcement is past the timeout."""
         record = self._records.get(upstream)
         return record is not None and now - record.heard >= self.timeout
 
-    def set_local_zones(self, zones: set[AvailabilityZone]) -> None:
-        """The zones of this instance's region."""
-        self._local_zones = zones
+    def set_local_zones(self, availability_zones: set[AvailabilityZone]) -> None:
+        """Set the availability zones of this instance's region."""
+        self._local_availability_zones = availability_zones
         self._candidates.clear()
 
     def list_candidates(
         self, request: Request, excluded: set[UpstreamId]
     ) -> list[Candidate]:
-        """Replicas that serve what the request asks for and take new work.
+        """Return the replicas in service that serve what the request asks for.
 
-        Without exclusions the list is shared: it must not be changed.
+        Without exclusions the list is the cached one: callers must not change it.
         """
-        need = _Need(request.service, request.model, request.adapter, request.version)
-        found = self._candidates.get(need)
+        key = _CandidateKey(
+            request.service, request.model, request.adapter, request.version
+        )
+        found = self._candidates.get(key)
         if found is None:
             found = self._find_candidates(request)
-            self._candidates[need] = found
+            self._candidates[key] = found
         if not excluded:
             return found
         return [c for c in found if c.view.upstream not in excluded]
@@ -204,11 +209,12 @@
         found: list[Candidate] = []
         for name in sorted(names):
             record = self._records[name]
-            if not _serves(record.announcement, request):
+            if not _is_served_by(record.announcement, request):
                 continue
-            zone = record.view.availability_zone
+            availability_zone = record.view.availability_zone
             record.is_local_region = (
-                self._local_zones is None or zone in self._local_zones
+                self._local_availability_zones is None
+                or availability_zone in self._local_availability_zones
             )
             found.append(record)
         return found
@@ -230,7 +236,7 @@
             names.discard(announcement.upstream)
 
 
-def _serves(announcement: Announcement, request: Request) -> bool:
+def _is_served_by(announcement: Announcement, request: Request) -> bool:
     if announcement.state is not UpstreamState.SERVING:
         return False
     if request.model is None:
--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -1,8 +1,10 @@
-"""One instance as a whole: its parts, and the messages between them. No I/O.
+"""All parts of one instance and the routing of messages between them, without I/O.
 
-The edges hand in requests, announcements, messages and datagrams with the present
-time, and carry out the returned actions. Messages for this instance itself never
-leave it.
+The edges pass in requests, announcements, messages and datagrams with the current
+time, and execute the returned actions. Messages that an instance addresses to itself
+are handled within it.
+
+``now`` is monotonic time in seconds, ``wall`` is wall-clock time in seconds.
 """
 
 from __future__ import annotations
@@ -91,29 +93,35 @@
 
 logger = structlog.get_logger(__name__)
 
-RENEW_PERIOD = 1.0
-USAGE_PERIOD = 1.0
-FETCH_PERIOD = 0.25
-"""Seconds between two requests for newer state while some is known to exist."""
+RENEW_PERIOD_S = 1.0
+"""Time between two renewals of the reservations at replica owners."""
+
+USAGE_PERIOD_S = 1.0
+"""Time between two usage reports."""
+
+FETCH_PERIOD_S = 0.25
+"""Time between two requests for state while newer state is known to exist."""
 
-REFRESH_PERIOD = 2.0
-"""Seconds between two requests for newer state when none is known."""
+REFRESH_PERIOD_S = 2.0
+"""Time between two requests for state while no newer state is known."""
 
-ISOLATION_LIMIT = 6.0
-"""Seconds without hearing another instance before this one stops admitting."""
+ISOLATION_TIMEOUT_S = 6.0
+"""Time without contact with any other instance before this one stops admitting."""
 
-LIST_GRACE = 3.0
-"""Seconds after its start in which a leader removes no instance from the list."""
+LIST_GRACE_S = 3.0
+"""Time after its start in which a leader removes no instance from the list."""
 
-CATALOG_GRACE = 3.0
-"""Seconds after its start that an instance waits to be told of the upstreams."""
+CATALOG_GRACE_S = 3.0
+"""Time after its start that an instance waits for another instance's catalog."""
 
-COMPARE_PERIOD = 5.0
-"""Seconds between two comparisons of the known upstreams with one other instance's,
-each time another one. Rumors are bounded and may all be missed: two of three upstreams
-stayed unknown. At 390 instances it costs 80 small messages a second in the fleet."""
+COMPARE_PERIOD_S = 5.0
+"""Time between two catalog comparisons, each with the next live instance.
 
-BARRIER_TIMEOUT = 2.0
+Rumors are sent a bounded number of times and may all be lost; the comparison finds
+upstreams that were missed."""
+
+BARRIER_TIMEOUT_S = 2.0
+"""Timeout of the barrier that confirms that the configuration is up to date."""
 
 InstanceAction = (
     ToInstance
@@ -130,14 +138,14 @@
 
 
 class Readiness(msgspec.Struct, frozen=True):
-    """Whether requests are admitted; ``reason`` says why not."""
+    """Whether requests are admitted; ``reason`` states why not."""
 
     is_ready: bool
     reason: str
 
 
 class Instance:
-    """All parts of one instance."""
+    """One instance: admission, routing, owners, membership and control member."""
 
     def __init__(
         self,
@@ -184,52 +192,52 @@
         self._control_names = control
         self._planner = OrderPlanner()
         self._started = now
-        self._times: dict[str, float] = {}
+        self._due_times: dict[str, float] = {}
         self._barrier: str | None = None
-        self._needed = Done(EMPTY_CONFIGURATION.version, EMPTY_LIST.epoch)
+        self._required_versions = Done(EMPTY_CONFIGURATION.version, EMPTY_LIST.epoch)
         self._models: dict[ModelName, Model] = {}
         self._services: dict[ServiceName, Service] = {}
-        self._lists = ListHistory()
-        # Instances that start together begin with different ones.
-        self._compared = zlib.crc32(self.me.encode())
+        self._list_history = ListHistory()
+        # Instances that start together compare with different peers first.
+        self._compare_index = zlib.crc32(self.me.encode())
 
-    # Reading
+    # State
 
     def read_readiness(self, now: float) -> Readiness:
-        """Whether this instance admits requests now."""
+        """Return whether this instance admits requests now."""
         if self.is_draining:
-            return Readiness(False, "the instance is stopping")
+            return Readiness(False, "the instance is draining")
         if not self.is_fresh:
             return Readiness(False, "no quorum has confirmed the configuration yet")
-        if not self._knows_upstreams(now):
+        if not self._has_upstreams(now):
             return Readiness(False, "the upstreams are not known yet")
         if self._is_isolated(now):
-            return Readiness(False, "no other instance is heard")
+            return Readiness(False, "no contact with any other instance")
         return Readiness(True, "")
 
     def get_model(self, name: ModelName) -> Model | None:
-        """A model of the configuration in force."""
+        """Return a model of the configuration in force."""
         return self._models.get(name)
 
     def get_service(self, name: ServiceName) -> Service | None:
-        """A service of the configuration in force."""
+        """Return a service of the configuration in force."""
         return self._services.get(name)
 
-    def _knows_upstreams(self, now: float) -> bool:
-        # With nobody to ask, announcements tell within a few periods.
+    def _has_upstreams(self, now: float) -> bool:
+        # If no instance sends its catalog, announcements fill it within this time.
         if self.news.has_catalog or not self.settings.peers:
             return True
-        return now - self._started >= CATALOG_GRACE
+        return now - self._started >= CATALOG_GRACE_S
 
     def _is_isolated(self, now: float) -> bool:
         if not self.settings.peers:
             return False
-        return now - self.membership.heard_any >= ISOLATION_LIMIT
+        return now - self.membership.heard_any >= ISOLATION_TIMEOUT_S
 
     # Requests
 
     def check_ready(self, now: float) -> None:
-        """Raise :class:`RefusedError` when no requests are admitted now."""
+        """Raise :class:`RefusedError` if no requests are admitted now."""
         readiness = self.read_readiness(now)
         if not readiness.is_ready:
             raise RefusedError(
@@ -237,7 +245,7 @@
             )
 
     def admit(self, request: Request, now: float) -> list[InstanceAction]:
-        """Admit and route a request; raise :class:`RefusedError` when it is not."""
+        """Admit and route a request; raise :class:`RefusedError` if it is rejected."""
         self.check_ready(now)
         self.admission.admit(
             request.request, request.customer, request.memory_tokens, now
@@ -245,33 +253,33 @@
         return self._run(self.entry.admit(request, now), now)
 
     def handle_started(self, attempt: AttemptId, now: float) -> list[InstanceAction]:
-        """The first token of an attempt arrived."""
+        """Handle the first token of an attempt."""
         return self._run(self.entry.handle_started(attempt, now), now)
 
     def handle_result(
         self, attempt: AttemptId, result: AttemptResult, now: float
     ) -> list[InstanceAction]:
-        """An attempt ended, as far as its connection tells."""
+        """Handle the end of an attempt as seen on its connection."""
         return self._run(self.entry.handle_result(attempt, result, now), now)
 
     def handle_claim(
         self, request: RequestId, error: ScalebendError | None, now: float
     ) -> list[InstanceAction]:
-        """The control group answered a claim."""
+        """Handle the reply to a claim; ``error`` is ``None`` if it was granted."""
         return self._run(self.entry.handle_claim(request, error, now), now)
 
     def cancel(self, request: RequestId, now: float) -> list[InstanceAction]:
-        """The caller went away."""
+        """Cancel a request whose caller disconnected."""
         return self._run(self.entry.cancel(request, now), now)
 
     def finish(self, request: RequestId, customer: CustomerId) -> None:
-        """The caller was answered."""
+        """End the admission of a request whose response is complete."""
         self.admission.finish(request, customer)
 
     def confirm_cancelled(
         self, upstream: UpstreamId, attempt: AttemptId, now: float
     ) -> list[InstanceAction]:
-        """An engine confirmed a cancellation."""
+        """Handle an engine's confirmation that it cancelled an attempt."""
         owner = self.owners.get(upstream)
         if owner is None:
             return []
@@ -280,14 +288,17 @@
     def propose(
         self, command: Command, timeout: float, now: float, wall: float
     ) -> tuple[str, list[InstanceAction]]:
-        """Propose a command to the control group; its end comes as an action."""
+        """Propose a command to the control group; return its name and the actions.
+
+        The outcome is a later :class:`Proposed` action. ``timeout`` is in seconds.
+        """
         name, sent = self.client.submit(
             command, timeout, now, salt=str(self.incarnation)
         )
         return name, self._run(list(sent), now, wall)
 
     def drain(self, now: float, wall: float) -> list[InstanceAction]:
-        """Begin a planned stop: admit nothing, own nothing, finish what is open."""
+        """Start to drain: admit and own nothing more, finish open requests."""
         self.is_draining = True
         self.membership.leave(now)
         if self.control is not None:
@@ -299,7 +310,7 @@
     def take_announcement(
         self, announcement: Announcement, now: float
     ) -> list[InstanceAction]:
-        """An upstream announced itself to this instance: tell its owner."""
+        """Forward an upstream's announcement to the owner of the upstream."""
         owner = self.owners.find_owner(announcement.upstream)
         if owner is None:
             return []
@@ -310,11 +321,11 @@
     def handle_peer(
         self, sender: InstanceId, message: PeerMessage, now: float, wall: float
     ) -> list[InstanceAction]:
-        """Take a message of another instance."""
+        """Handle a message of another instance."""
         return self._run(self._dispatch(sender, message, now, wall), now, wall)
 
     def handle_datagram(self, datagram: Datagram, now: float) -> list[InstanceAction]:
-        """Take a datagram of another instance."""
+        """Handle a datagram of another instance."""
         steps: list[_Step] = []
         for rumor in self.membership.handle(datagram, now):
             steps += self.news.take_rumor(rumor, now)
@@ -334,11 +345,11 @@
                 return list(self.news.take_announced(announcement, now))
             case ProposalAnswer():
                 ended, sent = self.client.handle(message, now)
-                return self._take_ended(ended) + list(sent)
+                return self._handle_ended_proposals(ended) + list(sent)
             case Published():
-                return self._take_published(message, now)
+                return self._apply_published(message, now)
             case Fetch() if self.control is None:
-                return self._answer_fetch(sender, message)
+                return self._reply_to_fetch(sender, message)
             case UsageReport():
                 return [self.usage.take_report(sender, message, now)]
             case UsageAnswer():
@@ -378,27 +389,27 @@
     # Time
 
     def advance(self, now: float, wall: float) -> list[InstanceAction]:
-        """Act on time; to be called every few tens of milliseconds."""
+        """Run all timers; to be called every few tens of milliseconds."""
         steps: list[_Step] = []
         steps += self.entry.advance(now)
         steps += self.news.advance(now)
         steps += self.membership.advance(now)
         ended, sent = self.client.advance(now)
-        steps += self._take_ended(ended)
+        steps += self._handle_ended_proposals(ended)
         steps += sent
-        if self._is_due("renew", RENEW_PERIOD, now):
+        if self._is_due("renew", RENEW_PERIOD_S, now):
             steps += self.entry.renew(now)
-        if self._is_due("usage", USAGE_PERIOD, now):
+        if self._is_due("usage", USAGE_PERIOD_S, now):
             steps += self.usage.build_reports(now)
-        steps += self._keep_fresh(now)
+        steps += self._request_updates(now)
         self._advance_control(now, wall)
         steps += self._plan_orders(now)
         return self._run(steps, now, wall)
 
     def _is_due(self, name: str, period: float, now: float) -> bool:
-        if now < self._times.get(name, 0.0):
+        if now < self._due_times.get(name, 0.0):
             return False
-        self._times[name] = now + period
+        self._due_times[name] = now + period
         return True
 
     # Control
@@ -406,12 +417,12 @@
     def finish_control(
         self, ready: Ready, now: float, wall: float
     ) -> list[InstanceAction]:
-        """The control member's writes are durable: apply and send."""
+        """Apply and send ``ready`` after its writes became durable."""
         assert self.control is not None
         steps: list[_Step] = list(self.control.finish(ready, now))
         state = self.control.state
         published = Published(state.configuration, WholeList(state.instances))
-        steps += self._take_published(published, now)
+        steps += self._apply_published(published, now)
         return self._run(steps, now, wall)
 
     def _advance_control(self, now: float, wall: float) -> None:
@@ -421,7 +432,7 @@
         if not self.control.is_list_due(now):
             return
         live = self.membership.list_live()
-        if self.settings.peers and now - self._started < LIST_GRACE:
+        if self.settings.peers and now - self._started < LIST_GRACE_S:
             listed = {item.instance for item in live}
             kept = self.control.state.instances.instances
             live += [item for item in kept if item.instance not in listed]
@@ -435,28 +446,28 @@
         configuration = self.control.state.configuration.configuration
         return list(self._planner.advance(configuration, self.catalog, term, now))
 
-    def _keep_fresh(self, now: float) -> list[_Step]:
+    def _request_updates(self, now: float) -> list[_Step]:
         steps: list[_Step] = []
         if not self.is_fresh and self._barrier is None:
             name, sent = self.client.submit(
-                Barrier(), BARRIER_TIMEOUT, now, salt=str(self.incarnation)
+                Barrier(), BARRIER_TIMEOUT_S, now, salt=str(self.incarnation)
             )
             self._barrier = name
             steps += sent
         own = (self.configuration.version, self.instances.epoch)
         newest = self.membership.newest
         needs_more = newest[0] > own[0] or newest[1] > own[1] or not self.is_fresh
-        if needs_more and self._is_due("fetch", FETCH_PERIOD, now):
-            steps += self._fetch_from(self.membership.newest_from)
-        elif self._is_due("refresh", REFRESH_PERIOD, now):
-            steps += self._fetch_from(None)
-        if not self.news.has_catalog and self._is_due("catalog", FETCH_PERIOD, now):
-            steps += self._fetch_catalog()
-        elif self.news.has_catalog and self._is_due("compare", COMPARE_PERIOD, now):
-            steps += self._compare_catalogs()
+        if needs_more and self._is_due("fetch", FETCH_PERIOD_S, now):
+            steps += self._request_state(self.membership.newest_from)
+        elif self._is_due("refresh", REFRESH_PERIOD_S, now):
+            steps += self._request_state(None)
+        if not self.news.has_catalog and self._is_due("catalog", FETCH_PERIOD_S, now):
+            steps += self._request_catalog()
+        elif self.news.has_catalog and self._is_due("compare", COMPARE_PERIOD_S, now):
+            steps += self._request_catalog_comparison()
         return steps
 
-    def _fetch_from(self, instance: InstanceId | None) -> list[_Step]:
+    def _request_state(self, instance: InstanceId | None) -> list[_Step]:
         if self.control is not None:
             return []
         fetch = Fetch(self.configuration.version, self.instances.epoch)
@@ -466,29 +477,29 @@
         self._control_names = self._control_names[1:] + self._control_names[:1]
         return [ToInstance(target, fetch) for target in sorted(targets)]
 
-    def _fetch_catalog(self) -> list[_Step]:
+    def _request_catalog(self) -> list[_Step]:
         for known in self.membership.list_known():
             if known.rank is MemberRank.ALIVE:
                 return [ToInstance(known.listed.instance, FetchCatalog())]
         return []
 
-    def _compare_catalogs(self) -> list[_Step]:
-        """Ask the next instance for its upstreams, if it knows others than this one."""
+    def _request_catalog_comparison(self) -> list[_Step]:
+        """Ask the next live instance for its catalog, if it differs from this one's."""
         live = self.membership.list_live()
         others = [one.instance for one in live if one.instance != self.me]
         if not others:
             return []
-        self._compared += 1
-        asked = others[self._compared % len(others)]
-        return [ToInstance(asked, FetchCatalog(self.catalog.summarise()))]
+        self._compare_index += 1
+        target = others[self._compare_index % len(others)]
+        return [ToInstance(target, FetchCatalog(self.catalog.summarise()))]
 
-    def _answer_fetch(self, sender: InstanceId, fetch: Fetch) -> list[_Step]:
+    def _reply_to_fetch(self, sender: InstanceId, fetch: Fetch) -> list[_Step]:
         published = build_published(
-            fetch, self.configuration, self.instances, self._lists
+            fetch, self.configuration, self.instances, self._list_history
         )
         return [ToInstance(sender, published)] if published is not None else []
 
-    def _take_ended(self, ended: list[Proposed]) -> list[_Step]:
+    def _handle_ended_proposals(self, ended: list[Proposed]) -> list[_Step]:
         steps: list[_Step] = []
         for proposed in ended:
             if proposed.proposal != self._barrier:
@@ -496,27 +507,27 @@
                 continue
             self._barrier = None
             if isinstance(proposed.result, Done):
-                self._needed = proposed.result
-                self._note_freshness()
+                self._required_versions = proposed.result
+                self._update_freshness()
         return steps
 
-    def _take_published(self, published: Published, now: float) -> list[_Step]:
+    def _apply_published(self, published: Published, now: float) -> list[_Step]:
         configuration = published.configuration
         if configuration and configuration.version > self.configuration.version:
-            self._put_in_force(configuration)
+            self._apply_configuration(configuration)
         steps: list[_Step] = []
         listed = None
         if published.instances is not None:
             listed = apply_news(published.instances, self.instances)
         if listed is not None:
             self.instances = listed
-            self._lists.put(listed)
-            steps += self._follow_list(now)
+            self._list_history.put(listed)
+            steps += self._apply_instance_list(now)
         self.membership.note_own(self.configuration.version, self.instances.epoch)
-        self._note_freshness()
+        self._update_freshness()
         return steps
 
-    def _put_in_force(self, accepted: AcceptedConfiguration) -> None:
+    def _apply_configuration(self, accepted: AcceptedConfiguration) -> None:
         self.configuration = accepted
         configuration = accepted.configuration
         self._models = {model.model: model for model in configuration.models}
@@ -532,7 +543,7 @@
         )
         logger.info("configuration in force", version=accepted.version)
 
-    def _follow_list(self, now: float) -> list[_Step]:
+    def _apply_instance_list(self, now: float) -> list[_Step]:
         listed = self.instances
         self.admission.instances = max(1, len(listed.instances))
         self.catalog.set_local_zones(
@@ -550,13 +561,13 @@
         steps += self.entry.handle_owner_changed(change.upstreams, now)
         return steps
 
-    def _note_freshness(self) -> None:
+    def _update_freshness(self) -> None:
         if self.is_fresh or self._barrier is not None:
             return
-        needed = self._needed
+        required = self._required_versions
         has_all = (
-            self.configuration.version >= needed.version
-            and self.instances.epoch >= needed.epoch
+            self.configuration.version >= required.version
+            and self.instances.epoch >= required.epoch
         )
         if has_all and self.instances.epoch > 0:
             self.is_fresh = True
@@ -567,8 +578,8 @@
     def _run(
         self, steps: Sequence[_Step], now: float, wall: float = 0.0
     ) -> list[InstanceAction]:
-        """Carry out what concerns this instance only; return the rest."""
-        out: list[InstanceAction] = []
+        """Handle the steps addressed to this instance; return the remaining actions."""
+        remaining: list[InstanceAction] = []
         queue: deque[_Step] = deque(steps)
         while queue:
             step = queue.popleft()
@@ -582,11 +593,11 @@
                 case Submission(to, proposal):
                     queue.appendleft(ToInstance(to, proposal))
                 case ToInstance(instance, inner) if instance == self.me:
-                    followers = self._dispatch(self.me, inner, now, wall)
-                    queue.extendleft(reversed(followers))
+                    follow_ups = self._dispatch(self.me, inner, now, wall)
+                    queue.extendleft(reversed(follow_ups))
                 case _:
-                    out.append(step)
-        return out
+                    remaining.append(step)
+        return remaining
 
 
 _Step = InstanceAction | EntryAction | OwnerAction | Submission
--- a/src/scalebend/core/membership.py
+++ b/src/scalebend/core/membership.py
@@ -1,10 +1,12 @@
-"""Which instances are live, by heartbeats to a few watchers and rumors to all.
+"""Failure detection by heartbeats to a few watchers, with gossip rumors to all.
 
-Each instance sends a heartbeat to its watchers, the next few on a ring. A watcher
-that misses it suspects the instance; it is dead when a second watcher agrees, or no
-other one is left. Whatever is learned travels as rumors, each passed on a bounded
-number of times. The cost of an instance does not grow with the system but for the
-rumors of actual changes. See docs/design/membership.md.
+Each instance sends heartbeats to its watchers, the next few instances on a hash ring.
+A watcher that misses them suspects the instance, which is declared dead once a second
+watcher agrees or no other watcher is left. Changes spread as rumors, each sent a
+bounded number of times. Without changes, the cost of an instance does not grow with
+the number of instances. See docs/design/membership.md.
+
+``now`` is monotonic time in seconds.
 """
 
 from __future__ import annotations
@@ -20,34 +22,34 @@
 from scalebend.core.messages import Datagram, MemberRumor, Rumor
 from scalebend.models.ids import ConfigurationVersion, Epoch, InstanceId
 
-HEARTBEAT = 0.4
-"""Seconds between two heartbeats to a watcher."""
+HEARTBEAT_PERIOD_S = 0.4
+"""Time between two heartbeats to a watcher."""
 
-PROBE_AFTER = 0.9
-"""Seconds without a heartbeat before a watcher asks for one.
+PROBE_AFTER_S = 0.9
+"""Time without a heartbeat before a watcher sends a probe.
 
-Views differ for a while: an instance may not know that it is watched by this one.
+Views differ for a while: an instance may not know that this one is a watcher of it.
 """
 
-SUSPECT_AFTER = 1.6
-"""Seconds without a heartbeat before a watcher suspects an instance."""
+SUSPECT_AFTER_S = 1.6
+"""Time without a heartbeat before a watcher suspects an instance."""
 
-CONFIRM_TIME = 0.5
-"""Seconds a sole suspicion waits for a second watcher to disagree by silence."""
+CONFIRM_TIMEOUT_S = 0.5
+"""Time until a sole suspicion counts, if no other watcher is responsive."""
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 FANOUT = 3
-"""Instances that get the rumors of one round."""
+"""Instances that receive rumors in one gossip round."""
 
-GOSSIP_PERIOD = 0.4
-MOST_BYTES = 700
-"""Bytes of rumors in one datagram, so that it is not fragmented."""
+GOSSIP_PERIOD_S = 0.4
+MAX_RUMOR_BYTES = 700
+"""Encoded size of all rumors in one datagram, so that it is not fragmented."""
 
-REMEMBER_DEAD = 3_600.0
+DEAD_RETENTION_S = 3_600.0
 
 
 class MemberRank(IntEnum):
-    """State of an instance; at equal incarnation the higher one wins."""
+    """State of an instance; at equal incarnation the higher rank wins."""
 
     ALIVE = 0
     LEAVING = 1
@@ -62,7 +64,7 @@
 
 
 class KnownInstance(msgspec.Struct, frozen=True):
-    """Another instance; ``version`` is what it last said to have in force."""
+    """Another instance; ``version`` is its last reported configuration version."""
 
     listed: ListedInstance
     rank: MemberRank
@@ -79,7 +81,7 @@
 
 
 class RumorQueue:
-    """Rumors still to be passed on; a newer one on the same subject replaces it."""
+    """Rumors to send; a newer rumor on the same subject replaces the older one."""
 
     def __init__(self) -> None:
         self._queue: dict[str, tuple[int, Rumor, int]] = {}
@@ -92,24 +94,24 @@
         size = len(msgspec.msgpack.encode(rumor))
         self._queue[subject] = (repeats, rumor, size)
 
-    def take(self, budget: int) -> list[Rumor]:
-        """Return the least repeated rumors that fit ``budget`` bytes."""
-        taken = []
+    def take(self, max_bytes: int) -> list[Rumor]:
+        """Return the least often sent rumors whose encoded size fits ``max_bytes``."""
+        batch = []
         ordered = sorted(self._queue.items(), key=lambda item: -item[1][0])
         for subject, (repeats, rumor, size) in ordered:
-            if size > budget:
+            if size > max_bytes:
                 continue
-            budget -= size
-            taken.append(rumor)
+            max_bytes -= size
+            batch.append(rumor)
             if repeats <= 1:
                 del self._queue[subject]
             else:
                 self._queue[subject] = (repeats - 1, rumor, size)
-        return taken
+        return batch
 
 
 class Membership:
-    """Live instances as this one sees them."""
+    """This instance's view of the other instances and their liveness."""
 
     def __init__(
         self, me: ListedInstance, seeds: list[str], *, now: float, seed: int = 0
@@ -123,73 +125,73 @@
         self.newest_from: InstanceId | None = None
         self.heard_any = now
         self._seeds = seeds
-        self._chooser = random.Random(f"{seed}/{me.instance}")
+        self._random = random.Random(f"{seed}/{me.instance}")
         self._peers: dict[InstanceId, _Peer] = {}
         self._suspects: dict[InstanceId, dict[InstanceId, float]] = {}
         self._heartbeat_at = now
         self._gossip_at = now
-        self._advanced = now
+        self._last_advance = now
         self._wrongly_dead: set[InstanceId] = set()
         self._probed_by: set[InstanceId] = set()
         self._ring: list[InstanceId] | None = None
         self._announce_self()
 
-    # Reading
+    # State
 
     def list_live(self) -> list[ListedInstance]:
-        """Instances that own replicas: alive and not leaving, this one included."""
+        """Return the instances that own replicas: alive and not leaving."""
         live = [p.listed for p in self._peers.values() if p.rank is MemberRank.ALIVE]
         if self.rank is MemberRank.ALIVE:
             live.append(self.me)
         return sorted(live)
 
     def list_known(self) -> list[KnownInstance]:
-        """Every other instance that is remembered, dead ones included."""
+        """Return every other known instance, dead ones included."""
         return [
             KnownInstance(peer.listed, peer.rank, peer.version, peer.heard)
             for peer in self._peers.values()
         ]
 
     def is_alive(self, instance: InstanceId) -> bool:
-        """Whether the instance can be reached, as far as known."""
+        """Return whether the instance is known and not declared dead."""
         peer = self._peers.get(instance)
         return peer is not None and peer.rank is not MemberRank.DEAD
 
     def get_listed(self, instance: InstanceId) -> ListedInstance | None:
-        """Addresses of an instance."""
+        """Return the list entry of an instance, with its addresses."""
         if instance == self.me.instance:
             return self.me
         peer = self._peers.get(instance)
         return peer.listed if peer is not None else None
 
-    # Changing
+    # Changes
 
     def leave(self, now: float) -> None:
-        """Planned stop: own nothing any more, but stay reachable."""
+        """Start to drain: own nothing any more, but stay reachable."""
         self.rank = MemberRank.LEAVING
         self._announce_self()
         self._gossip_at = now
 
     def learn(self, listed: ListedInstance, rank: MemberRank, now: float) -> bool:
-        """Take news of an instance; return whether it changed anything."""
+        """Apply a member update; return whether it was newer than the known state."""
         if listed.instance == self.me.instance:
             self._refute(listed, rank)
             return False
         known = self._peers.get(listed.instance)
-        news = (listed.incarnation, rank)
-        if known is not None and news <= (known.listed.incarnation, known.rank):
+        update = (listed.incarnation, rank)
+        if known is not None and update <= (known.listed.incarnation, known.rank):
             return False
         self._peers[listed.instance] = _Peer(listed, rank, now, now)
         self._suspects.pop(listed.instance, None)
         self._ring = None
-        self._spread(MemberRumor(listed, int(rank)))
+        self._spread_member_rumor(MemberRumor(listed, int(rank)))
         return True
 
     def handle(self, datagram: Datagram, now: float) -> list[Rumor]:
-        """Take a datagram; return the rumors that are not about instances."""
-        if now - self.heard_any >= SUSPECT_AFTER:
-            # This instance was cut off: what it did not hear says nothing.
-            self._forgive(now)
+        """Apply a datagram; return the rumors that are not about instances."""
+        if now - self.heard_any >= SUSPECT_AFTER_S:
+            # This instance was isolated, so missing heartbeats prove nothing.
+            self._reset_suspicions(now)
         self.heard_any = now
         peer = self._peers.get(datagram.sender)
         if peer is not None and peer.rank is MemberRank.DEAD:
@@ -200,38 +202,38 @@
             self._suspects.pop(datagram.sender, None)
         if datagram.is_probe:
             self._probed_by.add(datagram.sender)
-        self._note_versions(datagram)
+        self._record_versions(datagram)
         for suspect in datagram.suspects:
             if suspect in self._peers:
                 votes = self._suspects.setdefault(suspect, {})
                 votes[datagram.sender] = now
-        others: list[Rumor] = []
+        other_rumors: list[Rumor] = []
         for rumor in datagram.rumors:
             match rumor:
                 case MemberRumor(listed, rank):
                     self.learn(listed, MemberRank(rank), now)
                 case _:
-                    others.append(rumor)
+                    other_rumors.append(rumor)
         if peer is None and datagram.sender != self.me.instance:
-            # Somebody this instance does not know: make itself known in turn.
+            # The sender is unknown here, so it may not know this instance either.
             self._announce_self()
-        return others
+        return other_rumors
 
     def advance(self, now: float) -> list[Outbound]:
-        """Act on time: heartbeats, suspicions, a round of rumors."""
-        self._forgive_own_pause(now)
-        actions = self._tell_wrongly_dead() + self._answer_probes()
+        """Send heartbeats, probes and rumors that are due; check watched instances."""
+        self._reset_after_own_pause(now)
+        actions = self._notify_wrongly_dead() + self._reply_to_probes()
         if now >= self._heartbeat_at:
-            self._heartbeat_at = now + HEARTBEAT
+            self._heartbeat_at = now + HEARTBEAT_PERIOD_S
             actions += self._send_heartbeats(now)
-            actions += self._judge(now)
+            actions += self._check_watched(now)
         if now >= self._gossip_at:
-            self._gossip_at = now + GOSSIP_PERIOD
+            self._gossip_at = now + GOSSIP_PERIOD_S
             actions += self._send_rumors(now)
         return actions
 
-    def _tell_wrongly_dead(self) -> list[Outbound]:
-        """Tell a live instance that it is held dead, so that it can refute it."""
+    def _notify_wrongly_dead(self) -> list[Outbound]:
+        """Notify live instances that were declared dead, so that they can refute it."""
         actions = []
         for name in sorted(self._wrongly_dead):
             peer = self._peers[name]
@@ -242,25 +244,25 @@
         self._wrongly_dead.clear()
         return actions
 
-    def _answer_probes(self) -> list[Outbound]:
-        asking = [self._peers[n] for n in sorted(self._probed_by) if n in self._peers]
+    def _reply_to_probes(self) -> list[Outbound]:
+        probers = [self._peers[n] for n in sorted(self._probed_by) if n in self._peers]
         self._probed_by.clear()
         heartbeat = self._build_datagram(True, [], [])
-        return [Outbound(peer.listed.gossip, heartbeat) for peer in asking]
+        return [Outbound(peer.listed.gossip, heartbeat) for peer in probers]
 
     # Heartbeats
 
-    def _forgive_own_pause(self, now: float) -> None:
-        # After a pause of this process the others' heartbeats wait unread in the
-        # socket: give them the time to be read before judging anyone.
-        pause = now - self._advanced
-        self._advanced = now
-        if pause > 2 * HEARTBEAT:
-            self._forgive(now)
+    def _reset_after_own_pause(self, now: float) -> None:
+        # After a pause of this process, heartbeats wait unread in the socket: allow
+        # time to read them before any instance is suspected.
+        pause = now - self._last_advance
+        self._last_advance = now
+        if pause > 2 * HEARTBEAT_PERIOD_S:
+            self._reset_suspicions(now)
 
-    def _forgive(self, now: float) -> None:
+    def _reset_suspicions(self, now: float) -> None:
         for peer in self._peers.values():
-            peer.heard = max(peer.heard, now - HEARTBEAT)
+            peer.heard = max(peer.heard, now - HEARTBEAT_PERIOD_S)
         self._suspects.clear()
 
     def _list_ring(self) -> list[InstanceId]:
@@ -273,19 +275,19 @@
         return self._ring
 
     def list_watchers(self, instance: InstanceId) -> list[InstanceId]:
-        """Instances that watch ``instance``: the next ones on the ring."""
+        """Return the instances that watch ``instance``: the next ones on the ring."""
         ring = self._list_ring()
         if instance not in ring:
             return []
-        place = ring.index(instance)
-        count = min(WATCHERS, len(ring) - 1)
-        return [ring[(place + step) % len(ring)] for step in range(1, count + 1)]
+        position = ring.index(instance)
+        count = min(WATCHER_COUNT, len(ring) - 1)
+        return [ring[(position + step) % len(ring)] for step in range(1, count + 1)]
 
     def _list_watched(self) -> list[InstanceId]:
         ring = self._list_ring()
-        place = ring.index(self.me.instance)
-        count = min(WATCHERS, len(ring) - 1)
-        return [ring[place - step] for step in range(1, count + 1)]
+        position = ring.index(self.me.instance)
+        count = min(WATCHER_COUNT, len(ring) - 1)
+        return [ring[position - step] for step in range(1, count + 1)]
 
     def _send_heartbeats(self, now: float) -> list[Outbound]:
         suspects = [
@@ -302,21 +304,21 @@
                     actions.append(Outbound(self._peers[name].listed.gossip, datagram))
         return actions
 
-    def _judge(self, now: float) -> list[Outbound]:
-        is_cut_off = now - self.heard_any >= SUSPECT_AFTER
-        if is_cut_off and len(self._list_ring()) > 2:
-            # Hearing nobody says more about this instance than about all others.
+    def _check_watched(self, now: float) -> list[Outbound]:
+        is_isolated = now - self.heard_any >= SUSPECT_AFTER_S
+        if is_isolated and len(self._list_ring()) > 2:
+            # Without contact to anyone, this instance is more likely at fault.
             return []
         probes = []
         for name in self._list_watched():
             peer = self._peers[name]
-            if now - peer.heard >= PROBE_AFTER:
+            if now - peer.heard >= PROBE_AFTER_S:
                 probe = msgspec.structs.replace(
                     self._build_datagram(False, [], []), is_probe=True
                 )
                 probes.append(Outbound(peer.listed.gossip, probe))
             votes = self._suspects.get(name, {})
-            if now - peer.heard < SUSPECT_AFTER:
+            if now - peer.heard < SUSPECT_AFTER_S:
                 votes.pop(self.me.instance, None)
                 continue
             votes = self._suspects.setdefault(name, {})
@@ -328,13 +330,15 @@
     def _is_confirmed(
         self, name: InstanceId, votes: dict[InstanceId, float], now: float
     ) -> bool:
-        recent = [v for v, at in votes.items() if now - at < SUSPECT_AFTER]
+        recent = [v for v, at in votes.items() if now - at < SUSPECT_AFTER_S]
         if len(set(recent) | {self.me.instance}) >= 2:
             return True
-        others = [w for w in self.list_watchers(name) if w != self.me.instance]
-        silent = [w for w in others if now - self._peers[w].heard >= SUSPECT_AFTER]
-        waited = now - votes[self.me.instance] >= CONFIRM_TIME
-        return waited and len(silent) == len(others)
+        other_watchers = [w for w in self.list_watchers(name) if w != self.me.instance]
+        unresponsive = [
+            w for w in other_watchers if now - self._peers[w].heard >= SUSPECT_AFTER_S
+        ]
+        has_timed_out = now - votes[self.me.instance] >= CONFIRM_TIMEOUT_S
+        return has_timed_out and len(unresponsive) == len(other_watchers)
 
     # Rumors
 
@@ -343,20 +347,20 @@
         return [
             Outbound(
                 address,
-                self._build_datagram(False, self.rumors.take(MOST_BYTES), []),
+                self._build_datagram(False, self.rumors.take(MAX_RUMOR_BYTES), []),
             )
             for address in targets
         ]
 
     def _choose_targets(self, now: float) -> list[str]:
         names = [n for n, p in self._peers.items() if p.rank is not MemberRank.DEAD]
-        chosen = self._chooser.sample(sorted(names), min(FANOUT, len(names)))
+        chosen = self._random.sample(sorted(names), min(FANOUT, len(names)))
         targets = [self._peers[name].listed.gossip for name in chosen]
         if not names and self._seeds:
-            targets.append(self._chooser.choice(self._seeds))
-        elif self._seeds and self._chooser.random() < 0.05:
-            # Heals a system that split and declared the other side dead.
-            targets.append(self._chooser.choice(self._seeds))
+            targets.append(self._random.choice(self._seeds))
+        elif self._seeds and self._random.random() < 0.05:
+            # Heals a partition whose sides declared each other dead.
+            targets.append(self._random.choice(self._seeds))
         return targets
 
     def _build_datagram(
@@ -375,19 +379,19 @@
         )
 
     def spread(self, subject: str, rumor: Rumor) -> None:
-        """Pass a rumor on to all instances."""
-        self.rumors.put(subject, rumor, 2 + self._count_rounds())
+        """Queue a rumor for as many rounds as it needs to reach all instances."""
+        self.rumors.put(subject, rumor, 2 + self._count_gossip_rounds())
 
-    def _spread(self, rumor: MemberRumor) -> None:
-        # News of instances decide what counts as dead: they are sent more often.
-        repeats = FANOUT + 2 * self._count_rounds()
+    def _spread_member_rumor(self, rumor: MemberRumor) -> None:
+        # Member rumors decide which instances count as dead: send them more often.
+        repeats = FANOUT + 2 * self._count_gossip_rounds()
         self.rumors.put(f"m/{rumor.listed.instance}", rumor, repeats)
 
-    def _count_rounds(self) -> int:
+    def _count_gossip_rounds(self) -> int:
         return math.ceil(math.log2(max(2, len(self._peers) + 1)))
 
     def _announce_self(self) -> None:
-        self._spread(MemberRumor(self.me, int(self.rank)))
+        self._spread_member_rumor(MemberRumor(self.me, int(self.rank)))
 
     def _refute(self, listed: ListedInstance, rank: MemberRank) -> None:
         is_newer = listed.incarnation > self.me.incarnation
@@ -397,7 +401,7 @@
             self.me = msgspec.structs.replace(self.me, incarnation=incarnation)
             self._announce_self()
 
-    def _note_versions(self, datagram: Datagram) -> None:
+    def _record_versions(self, datagram: Datagram) -> None:
         version = max(self.newest[0], datagram.version)
         epoch = max(self.newest[1], datagram.epoch)
         if (version, epoch) != self.newest:
@@ -405,7 +409,7 @@
             self.newest_from = datagram.sender
 
     def note_own(self, version: ConfigurationVersion, epoch: Epoch) -> None:
-        """The configuration and instance list in force at this instance."""
+        """Record the versions of configuration and instance list in force here."""
         self.version = version
         self.epoch = epoch
         self.newest = (max(self.newest[0], version), max(self.newest[1], epoch))
--- a/src/scalebend/core/messages.py
+++ b/src/scalebend/core/messages.py
@@ -30,42 +30,42 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag=True):
-    """Control instance to another: do you belong to a group yet?"""
+    """Control instance to another: ask whether it belongs to a group."""
 
     member: Member
     has_group: bool
 
 
 class HelloReply(msgspec.Struct, frozen=True, tag=True):
-    """Answer to :class:`Hello`."""
+    """Reply to :class:`Hello`."""
 
     member: Member
     has_group: bool
     may_found: bool = True
-    """Whether the sender was told that the deployment starts for the first time."""
+    """Whether the sender was told that this is the first start of the deployment."""
 
     instances: list[InstanceId] = msgspec.field(default_factory=list)
-    """Instances of the sender's group, where the asker may not know them all."""
+    """Instances of the sender's group, some of which the receiver may not know."""
 
 
 class RelayReply(msgspec.Struct, frozen=True, tag=True):
-    """Answer to :class:`Hello` of a process that has no disk, and so no vote."""
+    """Reply to :class:`Hello` from a process without a disk, and so without a vote."""
 
     instances: list[InstanceId]
     """Control instances with a disk that the relay knows."""
 
     founder: InstanceId | None = None
-    """The one instance that may found the group, where no seed has a disk."""
+    """The only instance that may found the group, if no seed has a disk."""
 
 
 class Found(msgspec.Struct, frozen=True, tag=True):
-    """Founder to the other control instances: this is the first member list."""
+    """Founder to the other control instances: the first member list of the group."""
 
     members: Members
 
 
 class Join(msgspec.Struct, frozen=True, tag=True):
-    """Control instance without a vote to the leader: take this disk in."""
+    """Control instance without a vote to the leader: add this disk to the group."""
 
     member: Member
 
@@ -78,7 +78,7 @@
 
 
 class ProposalAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Control instance to proposer: the result, or who leads instead."""
+    """Control instance to proposer: the result, or the current leader."""
 
     proposal: str
     result: Result | None
@@ -86,14 +86,14 @@
 
 
 class Fetch(msgspec.Struct, frozen=True, tag=True):
-    """Instance to another: send what is newer than this."""
+    """Instance to another: request committed state newer than these versions."""
 
     version: ConfigurationVersion
     epoch: Epoch
 
 
 class Published(msgspec.Struct, frozen=True, tag=True):
-    """Committed state, as far as it is newer than was asked."""
+    """Committed state that is newer than requested; ``None`` for what is not."""
 
     configuration: AcceptedConfiguration | None
     instances: ListNews | None
@@ -106,35 +106,35 @@
 
 
 class CustomerOpen(msgspec.Struct, frozen=True, array_like=True):
-    """Open requests of a customer at the sender (or, answered, elsewhere)."""
+    """Number of open requests of a customer: at the sender, or elsewhere in a reply."""
 
     customer: CustomerId
     open: int
 
 
 class UsageReport(msgspec.Struct, frozen=True, tag=True):
-    """Instance to the home of these customers: local use and open requests."""
+    """Instance to the home of these customers: local usage and open requests."""
 
     usages: list[Usage]
     open: list[CustomerOpen]
 
 
 class UsageAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Home to instance: what all others used and have open."""
+    """Home to instance: usage and open requests of all other instances."""
 
     usages: list[Usage]
     open: list[CustomerOpen]
 
 
 class Handover(msgspec.Struct, frozen=True, tag=True):
-    """Old owner to new: the replica's holds, so that it need not be rebuilt."""
+    """Old owner to new: the reservations at a replica, so that none are rebuilt."""
 
     upstream: UpstreamId
     renew: Renew
 
 
 class FetchCatalog(msgspec.Struct, frozen=True, tag=True):
-    """Instance to another: send all upstreams you know, unless they are these."""
+    """Instance to another: request its catalog, unless it equals the sender's."""
 
     known: int | None = None
     """:meth:`scalebend.core.catalog.Catalog.summarise` of the sender's; ``None`` from
@@ -142,12 +142,12 @@
 
 
 class CatalogPage(msgspec.Struct, frozen=True, tag=True):
-    """Upstreams known to the sender."""
+    """The catalog of the sender."""
 
     announcements: list[Announcement]
     digests: list[LoadDigest]
     crashes: list[CrashRecord] = msgspec.field(default_factory=list)
-    """Requests under which upstreams ended."""
+    """Suspect requests: those during which upstreams crashed."""
 
 
 PeerMessage = (
@@ -177,42 +177,42 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message with the instance that sent it."""
+    """A message and its sender."""
 
     sender: InstanceId
     message: PeerMessage
 
 
 class MemberRumor(msgspec.Struct, frozen=True, tag="m", array_like=True):
-    """What is last known of an instance; a higher incarnation or rank wins."""
+    """Last known state of an instance; higher incarnation wins, then higher rank."""
 
     listed: ListedInstance
     rank: int = 0
 
 
 class UpstreamRumor(msgspec.Struct, frozen=True, tag="u", array_like=True):
-    """What an owner last heard of an upstream; ``is_gone`` after its silence."""
+    """An upstream's last announcement to its owner; ``is_gone`` once it expired."""
 
     announcement: Announcement
     is_gone: bool
 
 
 class DigestRumor(msgspec.Struct, frozen=True, tag="d", array_like=True):
-    """Load of a replica; ``sequence`` rises with each reading of its owner."""
+    """Load of a replica; its owner raises ``sequence`` with each digest."""
 
     digest: LoadDigest
     sequence: int
 
 
 class CacheRumor(msgspec.Struct, frozen=True, tag="c", array_like=True):
-    """A cache event of an engine: a hint, sent few times."""
+    """A prefix cache event of an engine; a hint that may be lost."""
 
     upstream: UpstreamId
     event: CacheEvent
 
 
 class CrashRumor(msgspec.Struct, frozen=True, tag="x", array_like=True):
-    """A request under which upstreams ended; none named: one answered it after all."""
+    """A suspect request and the upstreams that crashed; none if it succeeded later."""
 
     record: CrashRecord
 
--- a/src/scalebend/core/publication.py
+++ b/src/scalebend/core/publication.py
@@ -1,4 +1,4 @@
-"""What an instance answers to one that asks for newer committed state."""
+"""Reply of an instance to a request for newer committed state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     instances: InstanceList,
     history: ListHistory,
 ) -> Published | None:
-    """Return what is newer than the asker has; ``None`` when nothing is."""
+    """Return the state newer than the versions in ``fetch``; ``None`` if none is."""
     newer = configuration if configuration.version > fetch.version else None
     listed = history.build_news(fetch.epoch, instances)
     if newer is None and listed is None:
--- a/src/scalebend/core/upstream_news.py
+++ b/src/scalebend/core/upstream_news.py
@@ -1,4 +1,4 @@
-"""News of upstreams: from announcements to the owner, and by rumor to all others."""
+"""Updates of upstreams: announced to the owner, spread to all others as rumors."""
 
 from __future__ import annotations
 
@@ -27,15 +27,19 @@
 logger = structlog.get_logger(__name__)
 
 DIGEST_REPEATS = 2
+"""Times that an instance forwards a digest rumor; its owner sends it once more."""
+
 CACHE_REPEATS = 3
-LONGEST_CACHE_EVENT = 64
-"""Hashes in a cache event that is passed on; a longer one is left out as a gap."""
+"""Times that the owner sends a cache event rumor."""
+
+MAX_CACHE_EVENT_HASHES = 64
+"""Most hashes in a cache event that is sent; others see a longer one as a gap."""
 
 NewsAction = EntryAction | OwnerAction
 
 
 class UpstreamNews:
-    """Keeps catalog, owners and entry up to date, and passes news on."""
+    """Applies upstream updates to catalog, owners and entry, and spreads them."""
 
     def __init__(
         self,
@@ -52,19 +56,19 @@
         self._digest_count = 0
         self._sent_digests: dict[UpstreamId, LoadDigest] = {}
         self._digest_sequences: dict[UpstreamId, int] = {}
-        self._sent_records: dict[UpstreamId, Announcement] = {}
+        self._sent_announcements: dict[UpstreamId, Announcement] = {}
 
-    # As owner
+    # Upstreams that this instance owns
 
     def take_announced(
         self, announcement: Announcement, now: float
     ) -> list[NewsAction]:
-        """An upstream of this instance announced itself."""
+        """Apply an announcement of an upstream that this instance owns."""
         if not self._catalog.take_announcement(announcement, now):
             return []
         for event in announcement.cache_events:
-            self._take_cache_event(announcement.upstream, event)
-        self._spread_record(announcement, is_gone=False)
+            self._apply_cache_event(announcement.upstream, event)
+        self._spread_announcement(announcement, is_gone=False)
         record = self._catalog.get(announcement.upstream)
         assert record is not None
         owner = self._owners.ensure(record, now)
@@ -73,46 +77,50 @@
         return list(owner.take_announcement(announcement, now))
 
     def advance(self, now: float) -> list[NewsAction]:
-        """Run the owners' timers; drop upstreams that fell silent."""
+        """Run the owners' timers; remove upstreams whose announcements expired."""
         actions: list[NewsAction] = []
         for record in self._entry.crashes.take_news():
             self._spread_crash(record)
         self._entry.crashes.ledger.expire(now)
         for upstream, owner in self._owners:
             if self._catalog.is_silent(upstream, now):
-                actions += self._lose(upstream, now)
+                actions += self._handle_expired_upstream(upstream, now)
                 continue
             actions += owner.advance(now)
             self._spread_digest(owner)
         return actions
 
-    def _lose(self, upstream: UpstreamId, now: float) -> list[NewsAction]:
+    def _handle_expired_upstream(
+        self, upstream: UpstreamId, now: float
+    ) -> list[NewsAction]:
         record = self._catalog.get(upstream)
         assert record is not None
         logger.warning("upstream fell silent", upstream=upstream)
-        self._spread_record(record.announcement, is_gone=True)
-        return self._drop(upstream, now)
+        self._spread_announcement(record.announcement, is_gone=True)
+        return self._remove(upstream, now)
 
-    def _take_cache_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
+    def _apply_cache_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
         self._entry.placement.prefixes.take_event(upstream, event)
-        if len(event.stored) + len(event.evicted) <= LONGEST_CACHE_EVENT:
+        if len(event.stored) + len(event.evicted) <= MAX_CACHE_EVENT_HASHES:
             subject = f"c/{upstream}/{event.sequence}"
             rumor = CacheRumor(upstream, event)
             self._membership.rumors.put(subject, rumor, CACHE_REPEATS)
 
-    def _spread_record(self, announcement: Announcement, *, is_gone: bool) -> None:
+    def _spread_announcement(
+        self, announcement: Announcement, *, is_gone: bool
+    ) -> None:
         upstream = announcement.upstream
-        known = self._sent_records.get(upstream)
-        plain = msgspec.structs.replace(
+        known = self._sent_announcements.get(upstream)
+        stripped = msgspec.structs.replace(
             announcement, sequence=0, running=[], cache_events=[], load=Load()
         )
-        if known == plain and not is_gone:
+        if known == stripped and not is_gone:
             return
-        self._sent_records[upstream] = plain
-        carried = msgspec.structs.replace(plain, sequence=announcement.sequence)
-        self._pass_on(carried, is_gone=is_gone)
+        self._sent_announcements[upstream] = stripped
+        outgoing = msgspec.structs.replace(stripped, sequence=announcement.sequence)
+        self._spread_upstream_rumor(outgoing, is_gone=is_gone)
         if is_gone:
-            del self._sent_records[upstream]
+            del self._sent_announcements[upstream]
 
     def _spread_digest(self, owner: ReplicaOwner) -> None:
         digest = owner.read_digest()
@@ -126,23 +134,23 @@
         subject = f"d/{digest.upstream}"
         self._membership.rumors.put(subject, rumor, DIGEST_REPEATS + 1)
 
-    # As one of all
+    # Rumors of other instances
 
     def take_rumor(self, rumor: Rumor, now: float) -> list[NewsAction]:
-        """Take news that another instance passed on."""
+        """Apply a rumor of another instance, and forward it if it is new."""
         match rumor:
             case UpstreamRumor(announcement, is_gone):
-                return self._take_upstream_rumor(announcement, is_gone, now)
+                return self._apply_upstream_rumor(announcement, is_gone, now)
             case DigestRumor():
-                self._take_digest_rumor(rumor)
+                self._apply_digest_rumor(rumor)
             case CacheRumor(upstream, event):
                 self._entry.placement.prefixes.take_event(upstream, event)
             case CrashRumor(record):
-                self._take_crash(record, now)
+                self._apply_crash(record, now)
         return []
 
-    def _take_crash(self, record: CrashRecord, now: float) -> None:
-        """Learn what another instance saw, and pass on what is new."""
+    def _apply_crash(self, record: CrashRecord, now: float) -> None:
+        """Merge the crash record of another instance, and forward what is new."""
         if not record.ended:
             if self._entry.crashes.ledger.clear([record.fingerprint]):
                 self._spread_crash(record)
@@ -153,34 +161,34 @@
     def _spread_crash(self, record: CrashRecord) -> None:
         self._membership.spread(f"x/{record.fingerprint}", CrashRumor(record))
 
-    def _take_upstream_rumor(
+    def _apply_upstream_rumor(
         self, announcement: Announcement, is_gone: bool, now: float
     ) -> list[NewsAction]:
         upstream = announcement.upstream
         record = self._catalog.get(upstream)
-        news = (announcement.incarnation, announcement.sequence)
+        update = (announcement.incarnation, announcement.sequence)
         known = (0, -1)
         if record is not None:
             known = (record.announcement.incarnation, record.announcement.sequence)
-        if news < known:
+        if update < known:
             return []
         if self._owners.is_mine(upstream):
-            # The owner's own knowledge comes from announcements; a rumor only
-            # tells it of an upstream that it has not heard yet.
+            # The owner relies on announcements; a rumor only adds an upstream that
+            # has not announced itself here yet.
             if record is None and not is_gone:
                 self._catalog.take_announcement(announcement, now)
             return []
         if is_gone:
             if record is None:
                 return []
-            self._pass_on(announcement, is_gone=True)
-            return self._drop(upstream, now)
-        if news > known:
+            self._spread_upstream_rumor(announcement, is_gone=True)
+            return self._remove(upstream, now)
+        if update > known:
             self._catalog.take_announcement(announcement, now)
-            self._pass_on(announcement, is_gone=False)
+            self._spread_upstream_rumor(announcement, is_gone=False)
         return []
 
-    def _take_digest_rumor(self, rumor: DigestRumor) -> None:
+    def _apply_digest_rumor(self, rumor: DigestRumor) -> None:
         upstream = rumor.digest.upstream
         if self._owners.is_mine(upstream):
             return
@@ -190,21 +198,23 @@
         self._entry.take_digest(rumor.digest)
         self._membership.rumors.put(f"d/{upstream}", rumor, DIGEST_REPEATS)
 
-    def _pass_on(self, announcement: Announcement, *, is_gone: bool) -> None:
+    def _spread_upstream_rumor(
+        self, announcement: Announcement, *, is_gone: bool
+    ) -> None:
         rumor = UpstreamRumor(announcement, is_gone)
         self._membership.spread(f"u/{announcement.upstream}", rumor)
 
-    def _drop(self, upstream: UpstreamId, now: float) -> list[NewsAction]:
+    def _remove(self, upstream: UpstreamId, now: float) -> list[NewsAction]:
         self._catalog.remove(upstream)
         self._owners.drop(upstream)
         self._sent_digests.pop(upstream, None)
         self._digest_sequences.pop(upstream, None)
         return list(self._entry.handle_upstream_gone(upstream, now))
 
-    # The catalog as a whole, for an instance that starts
+    # The whole catalog, for an instance that starts or missed rumors
 
     def build_page(self) -> CatalogPage:
-        """All upstreams known here."""
+        """Return the whole catalog, with load digests and crash records."""
         return CatalogPage(
             [
                 msgspec.structs.replace(
@@ -217,11 +227,11 @@
         )
 
     def take_page(self, page: CatalogPage, now: float) -> list[NewsAction]:
-        """Take all upstreams that another instance knows."""
+        """Merge the catalog of another instance."""
         self.has_catalog = True
         actions: list[NewsAction] = []
         for announcement in page.announcements:
-            actions += self._take_upstream_rumor(announcement, False, now)
+            actions += self._apply_upstream_rumor(announcement, False, now)
         self._entry.crashes.ledger.merge(page.crashes, now)
         for digest in page.digests:
             if not self._owners.is_mine(digest.upstream):
