--- a/src/scalebend/core/catalog.py
+++ b/src/scalebend/core/catalog.py
@@ -19,15 +19,15 @@
 from scalebend.models.work import LoadDigest, ReplicaView, Request
 from scalebend.utils.addresses import parse_address
 
-MOST_MEMORY_TOKENS = 1_000_000_000
-MOST_RATE = 1e9
+MAX_MEMORY_TOKENS = 1_000_000_000
+MAX_PREFILL_TOKENS_PER_S = 1e9
 
 
 class UpstreamRecord(Candidate, kw_only=True):
-    """One upstream; ``heard`` is the time its last announcement was received."""
+    """One upstream; its timeout counts from ``last_announced``."""
 
     announcement: Announcement
-    heard: float
+    last_announced: float
 
 
 class _CandidateKey(NamedTuple):
@@ -66,7 +66,7 @@
         faults.append(Fault("$.concurrency", "expected 1 to 100000"))
     if not 0.0 < announcement.step_time < 60.0:
         faults.append(Fault("$.step_time", "expected seconds above 0 and below 60"))
-    if not 0.0 < announcement.prefill_rate <= MOST_RATE:
+    if not 0.0 < announcement.prefill_rate <= MAX_PREFILL_TOKENS_PER_S:
         faults.append(Fault("$.prefill_rate", "expected tokens a second above 0"))
     faults += _check_memory_and_service(announcement)
     if min(msgspec.structs.astuple(announcement.load)) < 0:
@@ -78,9 +78,9 @@
 def _check_memory_and_service(announcement: Announcement) -> list[Fault]:
     match announcement.family:
         case UpstreamKindName.ENGINE:
-            if 1 <= announcement.memory_tokens <= MOST_MEMORY_TOKENS:
+            if 1 <= announcement.memory_tokens <= MAX_MEMORY_TOKENS:
                 return []
-            expected = f"expected 1 to {MOST_MEMORY_TOKENS} tokens"
+            expected = f"expected 1 to {MAX_MEMORY_TOKENS} tokens"
             return [Fault("$.memory_tokens", expected)]
         case UpstreamKindName.SERVICE:
             if announcement.service and not announcement.memory_tokens:
@@ -112,7 +112,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def summarise(self) -> int:
+    def compute_checksum(self) -> int:
         """Return a number that is equal for catalogs with the same incarnations."""
         summary = 0
         for upstream, record in self._records.items():
@@ -127,7 +127,7 @@
         """Return the upstream's record, or ``None`` if it is unknown."""
         return self._records.get(upstream)
 
-    def take_announcement(self, announcement: Announcement, heard: float) -> bool:
+    def apply_announcement(self, announcement: Announcement, now: float) -> bool:
         """Apply an announcement; return ``False`` if a newer one is known."""
         record = self._records.get(announcement.upstream)
         view = build_view(announcement)
@@ -137,7 +137,7 @@
                 digest=build_idle_digest(view),
                 role=announcement.role,
                 announcement=announcement,
-                heard=heard,
+                last_announced=now,
             )
             self._records[announcement.upstream] = record
             self._index(announcement)
@@ -146,7 +146,7 @@
         update = (announcement.incarnation, announcement.sequence)
         if update < (known.incarnation, known.sequence):
             return False
-        record.heard = max(record.heard, heard)
+        record.last_announced = max(record.last_announced, now)
         if announcement.incarnation > known.incarnation:
             record.digest = build_idle_digest(view)
         if (announcement.models, announcement.service) != (known.models, known.service):
@@ -159,7 +159,7 @@
         record.role = announcement.role
         return True
 
-    def take_digest(self, digest: LoadDigest) -> None:
+    def apply_digest(self, digest: LoadDigest) -> None:
         """Apply a load digest; ignored for an unknown upstream."""
         record = self._records.get(digest.upstream)
         if record is not None:
@@ -171,12 +171,14 @@
         if record is not None:
             self._unindex(record.announcement)
 
-    def is_silent(self, upstream: UpstreamId, now: float) -> bool:
+    def is_expired(self, upstream: UpstreamId, now: float) -> bool:
         """Return whether a known upstream's last announcement is past the timeout."""
         record = self._records.get(upstream)
-        return record is not None and now - record.heard >= self.timeout
+        return record is not None and now - record.last_announced >= self.timeout
 
-    def set_local_zones(self, availability_zones: set[AvailabilityZone]) -> None:
+    def set_local_availability_zones(
+        self, availability_zones: set[AvailabilityZone]
+    ) -> None:
         """Set the availability zones of this instance's region."""
         self._local_availability_zones = availability_zones
         self._candidates.clear()
--- a/src/scalebend/core/control_client.py
+++ b/src/scalebend/core/control_client.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from scalebend.core.control_state import Command, Result, encode_command
-from scalebend.core.messages import ProposalAnswer, Propose
+from scalebend.core.messages import ProposalReply, Propose
 from scalebend.models.ids import InstanceId
 
 RESEND = 0.3
@@ -59,7 +59,7 @@
         return proposal, self._send_due(now)
 
     def handle(
-        self, answer: ProposalAnswer, now: float
+        self, answer: ProposalReply, now: float
     ) -> tuple[list[Proposed], list[Submission]]:
         """Take an answer; one without a result names the leader to ask instead."""
         pending = self._pending.get(answer.proposal)
--- a/src/scalebend/core/control_member.py
+++ b/src/scalebend/core/control_member.py
@@ -31,12 +31,12 @@
 from scalebend.core.list_history import ListHistory
 from scalebend.core.messages import (
     Fetch,
-    Found,
+    FoundGroup,
     Hello,
     HelloReply,
     Join,
     PeerMessage,
-    ProposalAnswer,
+    ProposalReply,
     Propose,
     RelayReply,
 )
@@ -153,7 +153,7 @@
                 self._try_to_found()
             case RelayReply(instances, founder):
                 self._take_relay_reply(sender, instances, founder)
-            case Found(members):
+            case FoundGroup(members):
                 self.replica.form_group(members)
             case Join(member):
                 self._take_in(member, now)
@@ -254,7 +254,7 @@
         # It is a founder that did not hear of the founding: its disk, and so its
         # log, is the one that was counted, and the first entry is the same for all.
         if self.replica.log.find_last_members_index() == 1:
-            self._send(sender, Found(members))
+            self._send(sender, FoundGroup(members))
 
     def _list_instances(self) -> list[InstanceId]:
         members = self.replica.members
@@ -297,7 +297,7 @@
         self.replica.form_group(members)
         logger.info("control group founded", voters=sorted(m.instance for m in voters))
         for member in sorted(voters - {self.me}):
-            self._send(member.instance, Found(members))
+            self._send(member.instance, FoundGroup(members))
 
     def _take_relay_reply(
         self, relay: InstanceId, instances: list[InstanceId], founder: InstanceId | None
@@ -369,7 +369,7 @@
     ) -> None:
         index = self.replica.propose(message.command, at, now)
         if index is None:
-            answer = ProposalAnswer(message.proposal, None, self.leader)
+            answer = ProposalReply(message.proposal, None, self.leader)
             self._send(sender, answer)
             return
         self._waiting[index] = _Waiting(self.replica.term, sender, message.proposal)
@@ -393,7 +393,7 @@
         self._waiting.clear()
 
     def _answer(self, waiting: _Waiting, result: Result | None) -> None:
-        answer = ProposalAnswer(waiting.proposal, result, self.leader)
+        answer = ProposalReply(waiting.proposal, result, self.leader)
         self._send(waiting.instance, answer)
 
     def _publish(self, sender: InstanceId, message: Fetch) -> None:
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -120,7 +120,7 @@
 
     def take_digest(self, digest: LoadDigest) -> None:
         """Take a newer load digest of a replica."""
-        self.catalog.take_digest(digest)
+        self.catalog.apply_digest(digest)
         self.placement.pending.forget(digest.upstream)
 
     def handle_grant(self, grant: Grant, now: float) -> list[EntryAction]:
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -55,11 +55,11 @@
 from scalebend.core.gateway.routing_store import unpack_routing
 from scalebend.core.gateway.upstream_exchange import UpstreamExchange, UpstreamNews
 from scalebend.core.messages import (
-    Found,
+    FoundGroup,
     Hello,
     HelloReply,
     Join,
-    ProposalAnswer,
+    ProposalReply,
     Propose,
     RelayReply,
 )
@@ -155,7 +155,7 @@
                 return self._tell_upstreams(self.upstreams.merge(news, now))
             case CrashNews():
                 self.crashes.take_from_peer(message, now)
-            case Hello() | HelloReply() | RelayReply() | Found() | Join():
+            case Hello() | HelloReply() | RelayReply() | FoundGroup() | Join():
                 self.member.handle(sender, message, now, at)
             case KnownInstances(instances):
                 self.member.note_instances(instances)
@@ -167,7 +167,7 @@
         """The writes of ``ready`` are durable; return what follows."""
         actions: list[ControlAction] = []
         for action in self.member.finish(ready, now):
-            if isinstance(action.message, ProposalAnswer):
+            if isinstance(action.message, ProposalReply):
                 actions.append(_read_answer(action.message))
             else:
                 actions.append(action)
@@ -479,7 +479,7 @@
         )
 
 
-def _read_answer(answer: ProposalAnswer) -> ProposalEnded:
+def _read_answer(answer: ProposalReply) -> ProposalEnded:
     result = answer.result
     held = result.version if isinstance(result, RoutingHeld) else None
     return ProposalEnded(answer.proposal, held)
--- a/src/scalebend/core/gateway/messages.py
+++ b/src/scalebend/core/gateway/messages.py
@@ -6,7 +6,7 @@
 
 from scalebend.core.consensus.messages import ConsensusMessage
 from scalebend.core.gateway.routing_store import RoutingNews
-from scalebend.core.messages import Found, Hello, HelloReply, Join, RelayReply
+from scalebend.core.messages import FoundGroup, Hello, HelloReply, Join, RelayReply
 from scalebend.models.crashes import CrashRecord
 from scalebend.models.endpoints import EndpointNews, UpstreamOutcomes
 from scalebend.models.gateway_settings import GatewayRole
@@ -243,6 +243,6 @@
     | Hello
     | HelloReply
     | RelayReply
-    | Found
+    | FoundGroup
     | Join
 )
--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -49,9 +49,9 @@
     FetchCatalog,
     Handover,
     PeerMessage,
-    ProposalAnswer,
+    ProposalReply,
     Published,
-    UsageAnswer,
+    UsageReply,
     UsageReport,
 )
 from scalebend.core.orders import OrderPlanner
@@ -59,7 +59,7 @@
 from scalebend.core.ownership import ReplicaOwners
 from scalebend.core.publication import build_published
 from scalebend.core.queueing import PRIORITY_FACTOR, STRATEGIES
-from scalebend.core.upstream_news import UpstreamNews
+from scalebend.core.upstream_updates import UpstreamUpdates
 from scalebend.core.usage_exchange import UsageExchange
 from scalebend.exceptions import ErrorKind, RefusedError, ScalebendError
 from scalebend.models.configuration import (
@@ -180,7 +180,9 @@
         )
         seeds = [peer.gossip for peer in settings.peers]
         self.membership = Membership(listed, seeds, now=now, seed=seed)
-        self.news = UpstreamNews(self.catalog, self.owners, self.entry, self.membership)
+        self.upstream_updates = UpstreamUpdates(
+            self.catalog, self.owners, self.entry, self.membership
+        )
         control = [peer.instance for peer in settings.peers if peer.control]
         self.control: ControlMember | None = None
         if recovered is not None:
@@ -225,14 +227,14 @@
 
     def _has_upstreams(self, now: float) -> bool:
         # If no instance sends its catalog, announcements fill it within this time.
-        if self.news.has_catalog or not self.settings.peers:
+        if self.upstream_updates.has_catalog or not self.settings.peers:
             return True
         return now - self._started >= CATALOG_GRACE_S
 
     def _is_isolated(self, now: float) -> bool:
         if not self.settings.peers:
             return False
-        return now - self.membership.heard_any >= ISOLATION_TIMEOUT_S
+        return now - self.membership.last_contact >= ISOLATION_TIMEOUT_S
 
     # Requests
 
@@ -307,7 +309,7 @@
 
     # Upstreams
 
-    def take_announcement(
+    def receive_announcement(
         self, announcement: Announcement, now: float
     ) -> list[InstanceAction]:
         """Forward an upstream's announcement to the owner of the upstream."""
@@ -328,7 +330,7 @@
         """Handle a datagram of another instance."""
         steps: list[_Step] = []
         for rumor in self.membership.handle(datagram, now):
-            steps += self.news.take_rumor(rumor, now)
+            steps += self.upstream_updates.apply_rumor(rumor, now)
         return self._run(steps, now)
 
     def _dispatch(
@@ -342,8 +344,8 @@
             case Refusal():
                 return list(self.entry.handle_refusal(message, now))
             case Announced(announcement):
-                return list(self.news.take_announced(announcement, now))
-            case ProposalAnswer():
+                return list(self.upstream_updates.apply_announcement(announcement, now))
+            case ProposalReply():
                 ended, sent = self.client.handle(message, now)
                 return self._handle_ended_proposals(ended) + list(sent)
             case Published():
@@ -352,18 +354,18 @@
                 return self._reply_to_fetch(sender, message)
             case UsageReport():
                 return [self.usage.take_report(sender, message, now)]
-            case UsageAnswer():
+            case UsageReply():
                 self.usage.take_answer(message, now)
             case Handover(upstream, renew):
                 owner = self.owners.get(upstream)
                 if owner is not None:
                     return list(owner.take_handover(renew.work, now))
-            case FetchCatalog(known):
-                if known == self.catalog.summarise():
+            case FetchCatalog(checksum):
+                if checksum == self.catalog.compute_checksum():
                     return []
-                return [ToInstance(sender, self.news.build_page())]
+                return [ToInstance(sender, self.upstream_updates.build_page())]
             case CatalogPage():
-                return list(self.news.take_page(message, now))
+                return list(self.upstream_updates.apply_page(message, now))
             case _:
                 if self.control is not None:
                     self.control.handle(sender, message, now, wall)
@@ -392,7 +394,7 @@
         """Run all timers; to be called every few tens of milliseconds."""
         steps: list[_Step] = []
         steps += self.entry.advance(now)
-        steps += self.news.advance(now)
+        steps += self.upstream_updates.advance(now)
         steps += self.membership.advance(now)
         ended, sent = self.client.advance(now)
         steps += self._handle_ended_proposals(ended)
@@ -455,15 +457,19 @@
             self._barrier = name
             steps += sent
         own = (self.configuration.version, self.instances.epoch)
-        newest = self.membership.newest
+        newest = self.membership.newest_versions
         needs_more = newest[0] > own[0] or newest[1] > own[1] or not self.is_fresh
         if needs_more and self._is_due("fetch", FETCH_PERIOD_S, now):
-            steps += self._request_state(self.membership.newest_from)
+            steps += self._request_state(self.membership.newest_sender)
         elif self._is_due("refresh", REFRESH_PERIOD_S, now):
             steps += self._request_state(None)
-        if not self.news.has_catalog and self._is_due("catalog", FETCH_PERIOD_S, now):
+        if not self.upstream_updates.has_catalog and self._is_due(
+            "catalog", FETCH_PERIOD_S, now
+        ):
             steps += self._request_catalog()
-        elif self.news.has_catalog and self._is_due("compare", COMPARE_PERIOD_S, now):
+        elif self.upstream_updates.has_catalog and self._is_due(
+            "compare", COMPARE_PERIOD_S, now
+        ):
             steps += self._request_catalog_comparison()
         return steps
 
@@ -491,7 +497,7 @@
             return []
         self._compare_index += 1
         target = others[self._compare_index % len(others)]
-        return [ToInstance(target, FetchCatalog(self.catalog.summarise()))]
+        return [ToInstance(target, FetchCatalog(self.catalog.compute_checksum()))]
 
     def _reply_to_fetch(self, sender: InstanceId, fetch: Fetch) -> list[_Step]:
         published = build_published(
@@ -523,7 +529,9 @@
             self.instances = listed
             self._list_history.put(listed)
             steps += self._apply_instance_list(now)
-        self.membership.note_own(self.configuration.version, self.instances.epoch)
+        self.membership.record_own_versions(
+            self.configuration.version, self.instances.epoch
+        )
         self._update_freshness()
         return steps
 
@@ -546,7 +554,7 @@
     def _apply_instance_list(self, now: float) -> list[_Step]:
         listed = self.instances
         self.admission.instances = max(1, len(listed.instances))
-        self.catalog.set_local_zones(
+        self.catalog.set_local_availability_zones(
             {
                 item.availability_zone
                 for item in listed.instances
@@ -554,7 +562,7 @@
             }
         )
         for item in listed.instances:
-            self.membership.learn(item, MemberRank.ALIVE, now)
+            self.membership.apply_member(item, MemberRank.ALIVE, now)
         self.usage.set_instances([item.instance for item in listed.instances])
         change = self.owners.set_instances(listed, now)
         steps: list[_Step] = [*change.handovers, *change.refusals]
--- a/src/scalebend/core/membership.py
+++ b/src/scalebend/core/membership.py
@@ -69,14 +69,14 @@
     listed: ListedInstance
     rank: MemberRank
     version: ConfigurationVersion
-    heard: float
+    last_contact: float
 
 
 class _Peer(msgspec.Struct):
     listed: ListedInstance
     rank: MemberRank
     changed: float
-    heard: float
+    last_contact: float
     version: ConfigurationVersion = ConfigurationVersion(0)
 
 
@@ -94,7 +94,7 @@
         size = len(msgspec.msgpack.encode(rumor))
         self._queue[subject] = (repeats, rumor, size)
 
-    def take(self, max_bytes: int) -> list[Rumor]:
+    def pop_batch(self, max_bytes: int) -> list[Rumor]:
         """Return the least often sent rumors whose encoded size fits ``max_bytes``."""
         batch = []
         ordered = sorted(self._queue.items(), key=lambda item: -item[1][0])
@@ -121,9 +121,12 @@
         self.version = ConfigurationVersion(0)
         self.epoch = Epoch(0)
         self.rumors = RumorQueue()
-        self.newest: tuple[ConfigurationVersion, Epoch] = (self.version, self.epoch)
-        self.newest_from: InstanceId | None = None
-        self.heard_any = now
+        self.newest_versions: tuple[ConfigurationVersion, Epoch] = (
+            self.version,
+            self.epoch,
+        )
+        self.newest_sender: InstanceId | None = None
+        self.last_contact = now
         self._seeds = seeds
         self._random = random.Random(f"{seed}/{me.instance}")
         self._peers: dict[InstanceId, _Peer] = {}
@@ -148,7 +151,7 @@
     def list_known(self) -> list[KnownInstance]:
         """Return every other known instance, dead ones included."""
         return [
-            KnownInstance(peer.listed, peer.rank, peer.version, peer.heard)
+            KnownInstance(peer.listed, peer.rank, peer.version, peer.last_contact)
             for peer in self._peers.values()
         ]
 
@@ -172,7 +175,9 @@
         self._announce_self()
         self._gossip_at = now
 
-    def learn(self, listed: ListedInstance, rank: MemberRank, now: float) -> bool:
+    def apply_member(
+        self, listed: ListedInstance, rank: MemberRank, now: float
+    ) -> bool:
         """Apply a member update; return whether it was newer than the known state."""
         if listed.instance == self.me.instance:
             self._refute(listed, rank)
@@ -189,15 +194,15 @@
 
     def handle(self, datagram: Datagram, now: float) -> list[Rumor]:
         """Apply a datagram; return the rumors that are not about instances."""
-        if now - self.heard_any >= SUSPECT_AFTER_S:
+        if now - self.last_contact >= SUSPECT_AFTER_S:
             # This instance was isolated, so missing heartbeats prove nothing.
             self._reset_suspicions(now)
-        self.heard_any = now
+        self.last_contact = now
         peer = self._peers.get(datagram.sender)
         if peer is not None and peer.rank is MemberRank.DEAD:
             self._wrongly_dead.add(datagram.sender)
         if peer is not None and datagram.incarnation >= peer.listed.incarnation:
-            peer.heard = now
+            peer.last_contact = now
             peer.version = datagram.version
             self._suspects.pop(datagram.sender, None)
         if datagram.is_probe:
@@ -211,7 +216,7 @@
         for rumor in datagram.rumors:
             match rumor:
                 case MemberRumor(listed, rank):
-                    self.learn(listed, MemberRank(rank), now)
+                    self.apply_member(listed, MemberRank(rank), now)
                 case _:
                     other_rumors.append(rumor)
         if peer is None and datagram.sender != self.me.instance:
@@ -262,7 +267,7 @@
 
     def _reset_suspicions(self, now: float) -> None:
         for peer in self._peers.values():
-            peer.heard = max(peer.heard, now - HEARTBEAT_PERIOD_S)
+            peer.last_contact = max(peer.last_contact, now - HEARTBEAT_PERIOD_S)
         self._suspects.clear()
 
     def _list_ring(self) -> list[InstanceId]:
@@ -305,26 +310,26 @@
         return actions
 
     def _check_watched(self, now: float) -> list[Outbound]:
-        is_isolated = now - self.heard_any >= SUSPECT_AFTER_S
+        is_isolated = now - self.last_contact >= SUSPECT_AFTER_S
         if is_isolated and len(self._list_ring()) > 2:
             # Without contact to anyone, this instance is more likely at fault.
             return []
         probes = []
         for name in self._list_watched():
             peer = self._peers[name]
-            if now - peer.heard >= PROBE_AFTER_S:
+            if now - peer.last_contact >= PROBE_AFTER_S:
                 probe = msgspec.structs.replace(
                     self._build_datagram(False, [], []), is_probe=True
                 )
                 probes.append(Outbound(peer.listed.gossip, probe))
             votes = self._suspects.get(name, {})
-            if now - peer.heard < SUSPECT_AFTER_S:
+            if now - peer.last_contact < SUSPECT_AFTER_S:
                 votes.pop(self.me.instance, None)
                 continue
             votes = self._suspects.setdefault(name, {})
             votes.setdefault(self.me.instance, now)
             if self._is_confirmed(name, votes, now):
-                self.learn(peer.listed, MemberRank.DEAD, now)
+                self.apply_member(peer.listed, MemberRank.DEAD, now)
         return probes
 
     def _is_confirmed(
@@ -335,7 +340,9 @@
             return True
         other_watchers = [w for w in self.list_watchers(name) if w != self.me.instance]
         unresponsive = [
-            w for w in other_watchers if now - self._peers[w].heard >= SUSPECT_AFTER_S
+            w
+            for w in other_watchers
+            if now - self._peers[w].last_contact >= SUSPECT_AFTER_S
         ]
         has_timed_out = now - votes[self.me.instance] >= CONFIRM_TIMEOUT_S
         return has_timed_out and len(unresponsive) == len(other_watchers)
@@ -347,7 +354,7 @@
         return [
             Outbound(
                 address,
-                self._build_datagram(False, self.rumors.take(MAX_RUMOR_BYTES), []),
+                self._build_datagram(False, self.rumors.pop_batch(MAX_RUMOR_BYTES), []),
             )
             for address in targets
         ]
@@ -402,14 +409,17 @@
             self._announce_self()
 
     def _record_versions(self, datagram: Datagram) -> None:
-        version = max(self.newest[0], datagram.version)
-        epoch = max(self.newest[1], datagram.epoch)
-        if (version, epoch) != self.newest:
-            self.newest = (version, epoch)
-            self.newest_from = datagram.sender
+        version = max(self.newest_versions[0], datagram.version)
+        epoch = max(self.newest_versions[1], datagram.epoch)
+        if (version, epoch) != self.newest_versions:
+            self.newest_versions = (version, epoch)
+            self.newest_sender = datagram.sender
 
-    def note_own(self, version: ConfigurationVersion, epoch: Epoch) -> None:
+    def record_own_versions(self, version: ConfigurationVersion, epoch: Epoch) -> None:
         """Record the versions of configuration and instance list in force here."""
         self.version = version
         self.epoch = epoch
-        self.newest = (max(self.newest[0], version), max(self.newest[1], epoch))
+        self.newest_versions = (
+            max(self.newest_versions[0], version),
+            max(self.newest_versions[1], epoch),
+        )
--- a/src/scalebend/core/messages.py
+++ b/src/scalebend/core/messages.py
@@ -58,7 +58,7 @@
     """The only instance that may found the group, if no seed has a disk."""
 
 
-class Found(msgspec.Struct, frozen=True, tag=True):
+class FoundGroup(msgspec.Struct, frozen=True, tag="Found"):
     """Founder to the other control instances: the first member list of the group."""
 
     members: Members
@@ -77,7 +77,7 @@
     command: bytes
 
 
-class ProposalAnswer(msgspec.Struct, frozen=True, tag=True):
+class ProposalReply(msgspec.Struct, frozen=True, tag="ProposalAnswer"):
     """Control instance to proposer: the result, or the current leader."""
 
     proposal: str
@@ -105,7 +105,7 @@
     announcement: Announcement
 
 
-class CustomerOpen(msgspec.Struct, frozen=True, array_like=True):
+class OpenRequestCount(msgspec.Struct, frozen=True, array_like=True):
     """Number of open requests of a customer: at the sender, or elsewhere in a reply."""
 
     customer: CustomerId
@@ -116,14 +116,14 @@
     """Instance to the home of these customers: local usage and open requests."""
 
     usages: list[Usage]
-    open: list[CustomerOpen]
+    open: list[OpenRequestCount]
 
 
-class UsageAnswer(msgspec.Struct, frozen=True, tag=True):
+class UsageReply(msgspec.Struct, frozen=True, tag="UsageAnswer"):
     """Home to instance: usage and open requests of all other instances."""
 
     usages: list[Usage]
-    open: list[CustomerOpen]
+    open: list[OpenRequestCount]
 
 
 class Handover(msgspec.Struct, frozen=True, tag=True):
@@ -136,9 +136,8 @@
 class FetchCatalog(msgspec.Struct, frozen=True, tag=True):
     """Instance to another: request its catalog, unless it equals the sender's."""
 
-    known: int | None = None
-    """:meth:`scalebend.core.catalog.Catalog.summarise` of the sender's; ``None`` from
-    one that starts."""
+    checksum: int | None = msgspec.field(name="known", default=None)
+    """Checksum of the sender's catalog; ``None`` while the sender has none."""
 
 
 class CatalogPage(msgspec.Struct, frozen=True, tag=True):
@@ -155,15 +154,15 @@
     | Hello
     | HelloReply
     | RelayReply
-    | Found
+    | FoundGroup
     | Join
     | Propose
-    | ProposalAnswer
+    | ProposalReply
     | Fetch
     | Published
     | Announced
     | UsageReport
-    | UsageAnswer
+    | UsageReply
     | Handover
     | FetchCatalog
     | CatalogPage
--- a/src/scalebend/core/ownership.py
+++ b/src/scalebend/core/ownership.py
@@ -100,7 +100,7 @@
             if new_owner == self._instance:
                 record = self._catalog.get(upstream)
                 assert record is not None
-                record.heard = now
+                record.last_announced = now
                 self._build(record, now, must_rebuild=True)
         return change
 
--- a/src/scalebend/core/upstream_news.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -35,10 +35,10 @@
 MAX_CACHE_EVENT_HASHES = 64
 """Most hashes in a cache event that is sent; others see a longer one as a gap."""
 
-NewsAction = EntryAction | OwnerAction
+UpdateAction = EntryAction | OwnerAction
 
 
-class UpstreamNews:
+class UpstreamUpdates:
     """Applies upstream updates to catalog, owners and entry, and spreads them."""
 
     def __init__(
@@ -60,11 +60,11 @@
 
     # Upstreams that this instance owns
 
-    def take_announced(
+    def apply_announcement(
         self, announcement: Announcement, now: float
-    ) -> list[NewsAction]:
+    ) -> list[UpdateAction]:
         """Apply an announcement of an upstream that this instance owns."""
-        if not self._catalog.take_announcement(announcement, now):
+        if not self._catalog.apply_announcement(announcement, now):
             return []
         for event in announcement.cache_events:
             self._apply_cache_event(announcement.upstream, event)
@@ -76,14 +76,14 @@
             return []
         return list(owner.take_announcement(announcement, now))
 
-    def advance(self, now: float) -> list[NewsAction]:
+    def advance(self, now: float) -> list[UpdateAction]:
         """Run the owners' timers; remove upstreams whose announcements expired."""
-        actions: list[NewsAction] = []
+        actions: list[UpdateAction] = []
         for record in self._entry.crashes.take_news():
             self._spread_crash(record)
         self._entry.crashes.ledger.expire(now)
         for upstream, owner in self._owners:
-            if self._catalog.is_silent(upstream, now):
+            if self._catalog.is_expired(upstream, now):
                 actions += self._handle_expired_upstream(upstream, now)
                 continue
             actions += owner.advance(now)
@@ -92,7 +92,7 @@
 
     def _handle_expired_upstream(
         self, upstream: UpstreamId, now: float
-    ) -> list[NewsAction]:
+    ) -> list[UpdateAction]:
         record = self._catalog.get(upstream)
         assert record is not None
         logger.warning("upstream fell silent", upstream=upstream)
@@ -136,7 +136,7 @@
 
     # Rumors of other instances
 
-    def take_rumor(self, rumor: Rumor, now: float) -> list[NewsAction]:
+    def apply_rumor(self, rumor: Rumor, now: float) -> list[UpdateAction]:
         """Apply a rumor of another instance, and forward it if it is new."""
         match rumor:
             case UpstreamRumor(announcement, is_gone):
@@ -163,7 +163,7 @@
 
     def _apply_upstream_rumor(
         self, announcement: Announcement, is_gone: bool, now: float
-    ) -> list[NewsAction]:
+    ) -> list[UpdateAction]:
         upstream = announcement.upstream
         record = self._catalog.get(upstream)
         update = (announcement.incarnation, announcement.sequence)
@@ -176,7 +176,7 @@
             # The owner relies on announcements; a rumor only adds an upstream that
             # has not announced itself here yet.
             if record is None and not is_gone:
-                self._catalog.take_announcement(announcement, now)
+                self._catalog.apply_announcement(announcement, now)
             return []
         if is_gone:
             if record is None:
@@ -184,7 +184,7 @@
             self._spread_upstream_rumor(announcement, is_gone=True)
             return self._remove(upstream, now)
         if update > known:
-            self._catalog.take_announcement(announcement, now)
+            self._catalog.apply_announcement(announcement, now)
             self._spread_upstream_rumor(announcement, is_gone=False)
         return []
 
@@ -204,7 +204,7 @@
         rumor = UpstreamRumor(announcement, is_gone)
         self._membership.spread(f"u/{announcement.upstream}", rumor)
 
-    def _remove(self, upstream: UpstreamId, now: float) -> list[NewsAction]:
+    def _remove(self, upstream: UpstreamId, now: float) -> list[UpdateAction]:
         self._catalog.remove(upstream)
         self._owners.drop(upstream)
         self._sent_digests.pop(upstream, None)
@@ -226,10 +226,10 @@
             self._entry.crashes.ledger.list_records(),
         )
 
-    def take_page(self, page: CatalogPage, now: float) -> list[NewsAction]:
+    def apply_page(self, page: CatalogPage, now: float) -> list[UpdateAction]:
         """Merge the catalog of another instance."""
         self.has_catalog = True
-        actions: list[NewsAction] = []
+        actions: list[UpdateAction] = []
         for announcement in page.announcements:
             actions += self._apply_upstream_rumor(announcement, False, now)
         self._entry.crashes.ledger.merge(page.crashes, now)
--- a/src/scalebend/core/usage_exchange.py
+++ b/src/scalebend/core/usage_exchange.py
@@ -4,7 +4,7 @@
 
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.control_member import ToInstance
-from scalebend.core.messages import CustomerOpen, UsageAnswer, UsageReport
+from scalebend.core.messages import OpenRequestCount, UsageReply, UsageReport
 from scalebend.core.rendezvous import ResponsibleTable
 from scalebend.core.shares import ShareLedger, UsageHome
 from scalebend.models.ids import CustomerId, InstanceId
@@ -46,7 +46,7 @@
             if customer in usages:
                 report.usages.append(usages[customer])
             if customer in opens:
-                report.open.append(CustomerOpen(customer, opens[customer]))
+                report.open.append(OpenRequestCount(customer, opens[customer]))
         # Homes take turns, so that the cost does not grow with the customers.
         ordered = sorted(reports)
         turn = self._turn % max(1, len(ordered))
@@ -68,10 +68,10 @@
                 for instance, count in known.items()
                 if instance != sender and instance in self._live
             )
-            opens.append(CustomerOpen(item.customer, others))
-        return ToInstance(sender, UsageAnswer(usages, opens))
+            opens.append(OpenRequestCount(item.customer, others))
+        return ToInstance(sender, UsageReply(usages, opens))
 
-    def take_answer(self, answer: UsageAnswer, now: float) -> None:
+    def take_answer(self, answer: UsageReply, now: float) -> None:
         """Take what the others used and have open."""
         self._shares.set_remote(answer.usages, now)
         for item in answer.open:
--- a/src/scalebend/edges/admin.py
+++ b/src/scalebend/edges/admin.py
@@ -97,7 +97,7 @@
             known.listed.availability_zone,
             known.rank.name.lower(),
             known.version,
-            round(now - known.heard, 2),
+            round(now - known.last_contact, 2),
         )
         for known in instance.membership.list_known()
     ]
--- a/src/scalebend/edges/runtime.py
+++ b/src/scalebend/edges/runtime.py
@@ -167,7 +167,7 @@
     # Inputs
 
     def _take_announcement(self, announcement: Announcement) -> None:
-        self.execute(self.instance.take_announcement(announcement, self.now()))
+        self.execute(self.instance.receive_announcement(announcement, self.now()))
 
     def receive_message(self, sender: InstanceId, message: PeerMessage) -> None:
         """Take a message of another instance."""
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -682,7 +682,7 @@
         def arrive() -> None:
             instance = self._instances.get(name)
             if instance is not None:
-                actions = instance.take_announcement(announcement, self.now)
+                actions = instance.receive_announcement(announcement, self.now)
                 self._execute(name, actions)
 
         self.call_at(self.now + delay, arrive)
--- a/tests/lib/control_group.py
+++ b/tests/lib/control_group.py
@@ -5,7 +5,7 @@
 from scalebend.core.consensus.messages import DiskId, HardState, Recovered
 from scalebend.core.control_member import ControlMember
 from scalebend.core.control_state import decode_command
-from scalebend.core.messages import ProposalAnswer, Propose
+from scalebend.core.messages import ProposalReply, Propose
 from scalebend.models.ids import Term
 
 CLIENT = "client"
@@ -148,7 +148,7 @@
         self.pump(to)
 
     def take_answer(self, message):
-        assert isinstance(message, ProposalAnswer)
+        assert isinstance(message, ProposalReply)
         if message.result is not None:
             known = self.answers.setdefault(message.proposal, message.result)
             assert known == message.result, "two answers to one proposal"
--- a/tests/unit/gateway/test_group_changes.py
+++ b/tests/unit/gateway/test_group_changes.py
@@ -44,7 +44,9 @@
     group = ControlGroup(NAMES, seeds=SEEDS, voters_wanted=5)
     for _ in range(30):
         group.advance(0.1)
-        group.flights = [f for f in group.flights if type(f[2]).__name__ != "Found"]
+        group.flights = [
+            f for f in group.flights if type(f[2]).__name__ != "FoundGroup"
+        ]
         group.deliver_all()
     assert group.members["a"].replica.members is not None
     group.settle()
--- a/tests/unit/test_decision_cost.py
+++ b/tests/unit/test_decision_cost.py
@@ -66,7 +66,7 @@
             concurrency=10_000,
             prefill_rate=1e9,
         )
-        instance.catalog.take_announcement(announcement, 0.0)
+        instance.catalog.apply_announcement(announcement, 0.0)
     for number in range(customers):
         instance.owners.shares.charge(f"c{number}", 1.0, 0.0)
     return instance
--- a/tests/unit/test_entry.py
+++ b/tests/unit/test_entry.py
@@ -37,7 +37,7 @@
 def build_entry(engines=2, strategy="fair", **announced):
     catalog = Catalog(2.5)
     for number in range(engines):
-        catalog.take_announcement(
+        catalog.apply_announcement(
             build_announcement(f"engine-{number}", **announced), 0.0
         )
     return Entry(EntryOptions(InstanceId(ENTRY), ZONE, STRATEGIES[strategy]), catalog)
@@ -373,7 +373,7 @@
         name = f"engine-{number}"
         self.entry.catalog.remove(name)
         self.take(self.entry.handle_upstream_gone(name, self.now))
-        self.entry.catalog.take_announcement(build_announcement(name), self.now)
+        self.entry.catalog.apply_announcement(build_announcement(name), self.now)
 
     @invariant()
     def promises_hold(self):
@@ -401,7 +401,7 @@
     entry = build_entry(1)
     for incarnation in range(1, 4):
         announcement = build_announcement("engine-0", incarnation=incarnation)
-        entry.catalog.take_announcement(announcement, float(incarnation))
+        entry.catalog.apply_announcement(announcement, float(incarnation))
         request = build_request(f"r{incarnation}", repeatable=False, content="cause")
         work, _ = start(entry, request, float(incarnation))
         entry.handle_claim(request.request, None, float(incarnation))
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -60,7 +60,7 @@
 
 def pass_rumors(sender, receiver):
     sender.advance(1.0, 0.0)
-    rumors = sender.membership.rumors.take(10_000)
+    rumors = sender.membership.rumors.pop_batch(10_000)
     datagram = Datagram(sender.me, 1, False, 0, 0, rumors, [])
     receiver.handle_datagram(datagram, 1.0)
 
@@ -82,5 +82,5 @@
     request = build_request("r", content="cause")
     here, starting = build_instance("a"), build_instance("b")
     end_engines(here, request)
-    starting.news.take_page(here.news.build_page(), 2.0)
+    starting.upstream_updates.apply_page(here.upstream_updates.build_page(), 2.0)
     assert starting.entry.crashes.find_hold(request, 2.0) is not None
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -44,7 +44,7 @@
                 models=list(loaded),
                 fencing_number=self.fencing[name],
             )
-            self.catalog.take_announcement(announcement, 0.0)
+            self.catalog.apply_announcement(announcement, 0.0)
 
     def obey(self, sent, checks=True):
         order = sent.order
