--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -118,7 +118,8 @@
 """Time between two catalog comparisons, each with the next live instance.
 
 Rumors are sent a bounded number of times and may all be lost; the comparison finds
-upstreams that were missed."""
+upstreams that were missed.
+"""
 
 BARRIER_TIMEOUT_S = 2.0
 """Timeout of the barrier that confirms that the configuration is up to date."""
--- a/src/scalebend/core/messages.py
+++ b/src/scalebend/core/messages.py
@@ -127,7 +127,7 @@
 
 
 class Handover(msgspec.Struct, frozen=True, tag=True):
-    """Old owner to new: the reservations at a replica, so that none are rebuilt."""
+    """Old owner to new: reservations at a replica, which need not be rebuilt then."""
 
     upstream: UpstreamId
     renew: Renew
--- a/tests/lib/cluster.py
+++ b/tests/lib/cluster.py
@@ -1,4 +1,4 @@
-"""Several real instance processes on loopback, with stand-in upstreams here."""
+"""Several instance processes on loopback, with stand-in upstreams in this process."""
 
 import asyncio
 import contextlib
@@ -91,8 +91,8 @@
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
             timeout = aiohttp.ClientTimeout(total=1.0)
             url = f"{self.url(name)}/admin/status"
-            async with self.session.get(url, timeout=timeout) as answer:
-                return await answer.json()
+            async with self.session.get(url, timeout=timeout) as response:
+                return await response.json()
         return None
 
     async def wait_until(self, check, seconds=25.0):
@@ -117,7 +117,7 @@
             print("ready, and the upstreams known, at the end:", seen, sep="\n  ")
             raise
 
-    async def wait_voter(self, name):
+    async def wait_until_voter(self, name):
         async def check():
             status = await self.read_status(name)
             return status and status["is_voter"] and len(status["voters"]) == 3
@@ -144,8 +144,8 @@
         document = ConfigurationChange(base, change, configuration, "tests")
         url = f"{self.url(name)}/admin/configuration"
         data = msgspec.json.encode(document)
-        async with self.session.post(url, data=data) as answer:
-            return answer.status, await answer.json()
+        async with self.session.post(url, data=data) as response:
+            return response.status, await response.json()
 
     def complete(self, name, prompt, *, max_tokens=4):
         body = {
@@ -161,7 +161,7 @@
         )
 
     async def order(self, name, key):
-        """Send an order; return its status, or ``None`` when the link was lost."""
+        """Send an order; return its status, or ``None`` if the connection broke."""
         headers = {
             "Authorization": "Bearer keepers",
             "Idempotency-Key": key,
@@ -170,9 +170,9 @@
         }
         url = f"{self.url(name)}/services/{SERVICE}/orders"
         with contextlib.suppress(aiohttp.ClientError):
-            async with self.session.post(url, data=b"{}", headers=headers) as answer:
-                await answer.read()
-                return answer.status
+            async with self.session.post(url, data=b"{}", headers=headers) as response:
+                await response.read()
+                return response.status
         return None
 
 
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -1,4 +1,4 @@
-"""One instance as a whole, with a control group of its own."""
+"""One instance as a whole: control proposals and the spread of crash records."""
 
 from scalebend.core.claims import Claim
 from scalebend.core.consensus.messages import DiskId, HardState, Recovered
@@ -11,7 +11,7 @@
 from tests.lib.builders import ENTRY, ZONE, build_request
 
 
-def carry_out(instance, now, wall):
+def finish_all_ready(instance, now, wall):
     entries = []
     while True:
         ready = instance.control.take_ready(now)
@@ -21,7 +21,7 @@
         instance.finish_control(ready, now, wall)
 
 
-def test_claim_proposed_at_the_leader_itself_carries_the_wall_clock():
+def test_claim_proposed_at_the_leader_has_the_wall_clock_time():
     settings = Settings(
         instance=InstanceId(ENTRY),
         region=Region("r"),
@@ -34,10 +34,10 @@
     instance = Instance(settings, recovered, now=0.0, incarnation=1)
     for step in range(1, 40):
         instance.advance(step * 0.05, 5_000.0)
-        carry_out(instance, step * 0.05, 5_000.0)
+        finish_all_ready(instance, step * 0.05, 5_000.0)
     assert instance.read_readiness(2.0).is_ready
     instance.propose(Claim("c", "k", "f", "r1"), 2.0, 2.0, 5_001.0)
-    (entry,) = carry_out(instance, 2.0, 5_001.0)
+    (entry,) = finish_all_ready(instance, 2.0, 5_001.0)
     assert entry.at == 5_001.0
 
 
@@ -52,35 +52,35 @@
     return Instance(settings, None, now=0.0, incarnation=1)
 
 
-def end_engines(instance, request):
+def crash_engines(instance, request):
     for number in range(MOST_ENDED):
         name = UpstreamId(f"engine-{number}")
         instance.entry.crashes.note_lost(request, name, Incarnation(1), 1.0)
 
 
-def pass_rumors(sender, receiver):
+def send_rumors(sender, receiver):
     sender.advance(1.0, 0.0)
     rumors = sender.membership.rumors.pop_batch(10_000)
     datagram = Datagram(sender.me, 1, False, 0, 0, rumors, [])
     receiver.handle_datagram(datagram, 1.0)
 
 
-def test_requests_that_end_engines_are_told_to_all_instances():
+def test_crash_records_spread_to_all_instances():
     request = build_request("r", content="cause")
-    here, there, third = (build_instance(name) for name in ("a", "b", "c"))
-    end_engines(here, request)
-    pass_rumors(here, there)
-    pass_rumors(there, third)
+    first, second, third = (build_instance(name) for name in ("a", "b", "c"))
+    crash_engines(first, request)
+    send_rumors(first, second)
+    send_rumors(second, third)
     assert third.entry.crashes.find_hold(request, 1.0).kind is ErrorKind.ENDS_UPSTREAMS
-    # One that an engine answered after all is cleared in the same way.
-    there.entry.crashes.note_answered(request, 1.0)
-    pass_rumors(there, here)
-    assert here.entry.crashes.find_hold(request, 1.0) is None
+    # A later success clears the record at all instances.
+    second.entry.crashes.note_answered(request, 1.0)
+    send_rumors(second, first)
+    assert first.entry.crashes.find_hold(request, 1.0) is None
 
 
-def test_instance_that_starts_is_told_of_them_with_the_upstreams():
+def test_catalog_page_carries_crash_records():
     request = build_request("r", content="cause")
-    here, starting = build_instance("a"), build_instance("b")
-    end_engines(here, request)
-    starting.upstream_updates.apply_page(here.upstream_updates.build_page(), 2.0)
+    first, starting = build_instance("a"), build_instance("b")
+    crash_engines(first, request)
+    starting.upstream_updates.apply_page(first.upstream_updates.build_page(), 2.0)
     assert starting.entry.crashes.find_hold(request, 2.0) is not None
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Liveness of instances: deaths, pauses, cuts, returns; in virtual time."""
+"""Failure detection: crashes, pauses, partitions and rejoins, in virtual time."""
 
 import heapq
 
@@ -13,13 +13,13 @@
 TICK = 0.05
 
 
-class Net:
-    """Memberships with a virtual clock, and datagrams that may be lost."""
+class SimulatedNetwork:
+    """Memberships on a virtual clock, connected by datagrams that may be lost."""
 
-    def __init__(self, count, lose=lambda sender, to, number: False):
+    def __init__(self, count, is_lost=lambda sender, to, number: False):
         self.now = 0.0
-        self.lose = lose
-        self.flights = []
+        self.is_lost = is_lost
+        self.in_flight = []
         self.number = 0
         self.members = {}
         self.paused = set()
@@ -41,24 +41,24 @@
 
     def send(self, sender, outbound):
         self.number += 1
-        if self.lose(sender, outbound.address, self.number):
+        if self.is_lost(sender, outbound.address, self.number):
             return
         data = msgspec.msgpack.encode(outbound.datagram)
         self.sizes.append(len(data))
         flight = (self.now + 0.002, self.number, sender, outbound.address, data)
-        heapq.heappush(self.flights, flight)
+        heapq.heappush(self.in_flight, flight)
 
     def deliver(self):
-        held = []
-        while self.flights and self.flights[0][0] <= self.now:
-            flight = heapq.heappop(self.flights)
+        undelivered = []
+        while self.in_flight and self.in_flight[0][0] <= self.now:
+            flight = heapq.heappop(self.in_flight)
             if flight[3] in self.paused:
-                held.append(flight)
+                undelivered.append(flight)
             elif flight[3] in self.members:
                 datagram = msgspec.msgpack.decode(flight[4], type=Datagram)
                 self.members[flight[3]].handle(datagram, self.now)
-        for flight in held:
-            heapq.heappush(self.flights, flight)
+        for flight in undelivered:
+            heapq.heappush(self.in_flight, flight)
 
     def count_live(self, address="g000"):
         return len(self.members[address].list_live())
@@ -66,14 +66,14 @@
 
 @pytest.mark.parametrize("count", [2, 9, 40])
 def test_everybody_learns_of_everybody(count):
-    net = Net(count)
+    net = SimulatedNetwork(count)
     net.run(8.0)
     assert {net.count_live(address) for address in net.members} == {count}
 
 
 @pytest.mark.parametrize("count", [2, 3, 9, 40])
-def test_silent_death_is_noticed_within_three_seconds_by_somebody(count):
-    net = Net(count)
+def test_crash_is_detected_within_three_seconds(count):
+    net = SimulatedNetwork(count)
     net.run(8.0)
     del net.members["g001"]
     net.run(3.0)
@@ -82,8 +82,8 @@
     assert {net.count_live(address) for address in net.members} == {count - 1}
 
 
-def test_pause_of_half_a_second_raises_no_alarm():
-    net = Net(9)
+def test_short_pause_does_not_count_as_death():
+    net = SimulatedNetwork(9)
     net.run(8.0)
     for number in range(9):
         address = f"g{number:03}"
@@ -94,14 +94,14 @@
         assert {net.count_live(a) for a in net.members} == {9}
 
 
-def test_lost_datagrams_raise_no_alarm():
-    net = Net(9, lose=lambda sender, to, number: number % 10 == 0)
+def test_lost_datagrams_do_not_count_as_death():
+    net = SimulatedNetwork(9, is_lost=lambda sender, to, number: number % 10 == 0)
     net.run(60.0)
     assert {net.count_live(address) for address in net.members} == {9}
 
 
-def test_instance_that_was_paused_for_a_minute_comes_back():
-    net = Net(9)
+def test_instance_rejoins_after_a_minute_of_pause():
+    net = SimulatedNetwork(9)
     net.run(8.0)
     net.paused = {"g004"}
     net.run(60.0)
@@ -111,31 +111,31 @@
     assert {net.count_live(address) for address in net.members} == {9}
 
 
-def test_cut_off_instance_does_not_declare_the_others_dead():
-    net = Net(9)
+def test_isolated_instance_does_not_declare_the_others_dead():
+    net = SimulatedNetwork(9)
     net.run(8.0)
-    net.lose = lambda sender, to, number: "g002" in (sender, to)
+    net.is_lost = lambda sender, to, number: "g002" in (sender, to)
     net.run(10.0)
     assert net.count_live() == 8
     assert net.count_live("g002") == 9
-    net.lose = lambda sender, to, number: False
+    net.is_lost = lambda sender, to, number: False
     net.run(10.0)
     assert {net.count_live(address) for address in net.members} == {9}
 
 
-def test_both_sides_of_a_split_heal():
-    net = Net(10)
+def test_partition_heals():
+    net = SimulatedNetwork(10)
     net.run(8.0)
-    net.lose = lambda sender, to, number: (sender < "g005") != (to < "g005")
+    net.is_lost = lambda sender, to, number: (sender < "g005") != (to < "g005")
     net.run(20.0)
     assert net.count_live() == 5 and net.count_live("g009") == 5
-    net.lose = lambda sender, to, number: False
+    net.is_lost = lambda sender, to, number: False
     net.run(40.0)
     assert {net.count_live(address) for address in net.members} == {10}
 
 
-def test_leaving_instance_is_reachable_but_not_live():
-    net = Net(5)
+def test_draining_instance_is_reachable_but_not_live():
+    net = SimulatedNetwork(5)
     net.run(8.0)
     net.members["g003"].leave(net.now)
     net.run(3.0)
@@ -144,21 +144,21 @@
 
 
 def test_datagrams_are_not_fragmented():
-    net = Net(40)
+    net = SimulatedNetwork(40)
     net.run(8.0)
     assert max(net.sizes) <= 1_400
 
 
-def test_many_that_start_at_once_raise_no_alarm():
-    """Views differ for a while: who is not heard is asked before it is suspected."""
-    net = Net(120)
+def test_simultaneous_starts_cause_no_false_deaths():
+    """Views differ for a while, so a watcher probes before it suspects an instance."""
+    net = SimulatedNetwork(120)
     net.run(20.0)
     assert {member.me.incarnation for member in net.members.values()} == {1}
     assert min(net.count_live(address) for address in net.members) >= 118
 
 
 @pytest.mark.parametrize("known", [0, 3, 7])
-def test_list_change_leads_to_the_whole_list(known):
+def test_list_change_yields_the_newest_list(known):
     history = ListHistory()
     lists = []
     for epoch in range(8):
