--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -9,11 +9,11 @@
 
 from scalebend.core.gateway.limited_placement import LimitedPlacement
 from scalebend.core.gateway.messages import (
-    FrontPlace,
-    LimitNews,
-    LimitsHeard,
-    SendAnswer,
-    SendQuestion,
+    FrontNumber,
+    LimitUpdates,
+    ObservedLimits,
+    SendPermitReply,
+    SendPermitRequest,
 )
 from scalebend.core.request_limits import RequestLimits
 from scalebend.core.send_budget import SendBudget, UncoordinatedShare
@@ -54,7 +54,7 @@
 
     def receive(
         self, reported: HeardLimit, now: float, *, has_leader: bool
-    ) -> LimitsHeard | None:
+    ) -> ObservedLimits | None:
         """Apply the limit named in a response; return the report for the leader.
 
         The leader decides when a limit is raised or ends, and publishes it; a front
@@ -66,13 +66,13 @@
         if reported.rate < known.rate or not has_leader:
             changed = self._limits.apply(reported)
             self._apply_changes([changed] if changed is not None else [], now)
-        return LimitsHeard([reported]) if has_leader else None
+        return ObservedLimits([reported]) if has_leader else None
 
-    def apply_updates(self, updates: LimitNews, now: float) -> None:
+    def apply_updates(self, updates: LimitUpdates, now: float) -> None:
         """Merge limits that a control instance published."""
         self._apply_changes(self._limits.merge(updates.limits), now)
 
-    def record_position(self, position: FrontPlace) -> None:
+    def record_position(self, position: FrontNumber) -> None:
         """Store the number that the leader assigned to this front."""
         self._fronts = position.fronts
         self._number = position.number
@@ -88,15 +88,15 @@
         if self._limits.count_limited():
             self._update_share(now)
 
-    def grant(self, request: SendQuestion, now: float) -> SendAnswer:
+    def grant(self, request: SendPermitRequest, now: float) -> SendPermitReply:
         """Grant an uncoordinated send, if one is due within the requested wait."""
-        upstream, wait = self.budget.grant(request.upstreams, request.patience, now)
-        return SendAnswer(request.question, upstream, wait)
+        upstream, wait = self.budget.grant(request.upstreams, request.timeout_s, now)
+        return SendPermitReply(request.request_id, upstream, wait)
 
-    def build_updates(self) -> LimitNews | None:
+    def build_updates(self) -> LimitUpdates | None:
         """All known limits, for a new leader; ``None`` without any."""
         limits = self._limits.list_all()
-        return LimitNews(limits) if limits else None
+        return LimitUpdates(limits) if limits else None
 
     def expire(self, upstreams: Iterable[UpstreamId], now: float) -> None:
         """Forget upstreams that have long been absent, and prompts that were sent."""
