--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -19,7 +19,7 @@
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.catalog import Catalog
 from scalebend.core.consensus.messages import Ready, Recovered
-from scalebend.core.control_client import ControlClient, Proposed, Submission
+from scalebend.core.control_client import ControlClient, ProposalOutcome, Submission
 from scalebend.core.control_member import ControlMember, ToInstance
 from scalebend.core.control_state import (
     EMPTY_LIST,
@@ -39,7 +39,7 @@
     StartAttempt,
     ToOwner,
 )
-from scalebend.core.list_history import ListHistory, WholeList, apply_news
+from scalebend.core.list_history import ListHistory, WholeList, apply_list_update
 from scalebend.core.membership import MemberRank, Membership, Outbound
 from scalebend.core.messages import (
     Announced,
@@ -134,7 +134,7 @@
     | Conclude
     | CancelOnEngine
     | SendOrder
-    | Proposed
+    | ProposalOutcome
 )
 
 
@@ -293,7 +293,7 @@
     ) -> tuple[str, list[InstanceAction]]:
         """Propose a command to the control group; return its name and the actions.
 
-        The outcome is a later :class:`Proposed` action. ``timeout`` is in seconds.
+        A :class:`ProposalOutcome` action follows. ``timeout`` is in seconds.
         """
         name, sent = self.client.submit(
             command, timeout, now, salt=str(self.incarnation)
@@ -506,15 +506,15 @@
         )
         return [ToInstance(sender, published)] if published is not None else []
 
-    def _handle_ended_proposals(self, ended: list[Proposed]) -> list[_Step]:
+    def _handle_ended_proposals(self, ended: list[ProposalOutcome]) -> list[_Step]:
         steps: list[_Step] = []
-        for proposed in ended:
-            if proposed.proposal != self._barrier:
-                steps.append(proposed)
+        for outcome in ended:
+            if outcome.proposal != self._barrier:
+                steps.append(outcome)
                 continue
             self._barrier = None
-            if isinstance(proposed.result, Done):
-                self._required_versions = proposed.result
+            if isinstance(outcome.result, Done):
+                self._required_versions = outcome.result
                 self._update_freshness()
         return steps
 
@@ -525,7 +525,7 @@
         steps: list[_Step] = []
         listed = None
         if published.instances is not None:
-            listed = apply_news(published.instances, self.instances)
+            listed = apply_list_update(published.instances, self.instances)
         if listed is not None:
             self.instances = listed
             self._list_history.put(listed)
--- a/src/scalebend/core/publication.py
+++ b/src/scalebend/core/publication.py
@@ -16,7 +16,7 @@
 ) -> Published | None:
     """Return the state newer than the versions in ``fetch``; ``None`` if none is."""
     newer = configuration if configuration.version > fetch.version else None
-    listed = history.build_news(fetch.epoch, instances)
+    listed = history.build_update(fetch.epoch, instances)
     if newer is None and listed is None:
         return None
     return Published(newer, listed)
--- a/src/scalebend/core/upstream_updates.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -79,7 +79,7 @@
     def advance(self, now: float) -> list[UpdateAction]:
         """Run the owners' timers; remove upstreams whose announcements expired."""
         actions: list[UpdateAction] = []
-        for record in self._entry.crashes.take_news():
+        for record in self._entry.crashes.take_updates():
             self._spread_crash(record)
         self._entry.crashes.ledger.expire(now)
         for upstream, owner in self._owners:
--- a/tests/unit/gateway/test_silent_ends.py
+++ b/tests/unit/gateway/test_silent_ends.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from scalebend.core.crash_ledger import MOST_ENDED
+from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.unanswered_attempts import RETENTION_S, UnansweredAttempts
 from scalebend.models.endpoints import EndpointNews
@@ -51,14 +51,14 @@
 
 async def test_unresponsive_replicas_count_as_crashed_once_gone():
     async with run_plain_front() as front, serve(hang) as hanging:
-        await crash_silently(front, hanging, MOST_ENDED)
+        await crash_silently(front, hanging, CRASHES_UNTIL_QUARANTINE)
         front.add(9, hanging)
         await send(front, 503)
 
 
 async def test_replica_whose_address_was_taken_counts_as_crashed():
     async with run_plain_front() as front, serve(hang) as hanging:
-        for number in range(1, MOST_ENDED + 1):
+        for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             front.add(number, hanging)
             await send(front, 504)
             apply_changes(
@@ -69,7 +69,7 @@
 
 async def test_drained_replica_does_not_count_as_crashed():
     async with run_plain_front() as front, serve(hang) as hanging:
-        await crash_silently(front, hanging, MOST_ENDED, is_draining=True)
+        await crash_silently(front, hanging, CRASHES_UNTIL_QUARANTINE, is_draining=True)
         front.add(9, hanging)
         await send(front, 504)
 
@@ -77,7 +77,7 @@
 async def test_timeouts_at_a_registered_replica_do_not_count():
     async with run_plain_front() as front, serve(hang) as hanging:
         front.add(1, hanging)
-        for _ in range(MOST_ENDED + 1):
+        for _ in range(CRASHES_UNTIL_QUARANTINE + 1):
             await send(front, 504)
 
 
@@ -87,15 +87,17 @@
         serve(hang) as hanging,
         serve(answer_sealed) as healthy,
     ):
-        for number in range(1, MOST_ENDED + 1):
+        for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             front.add(number, hanging)
             await send(front, 504)
-        names = [build_endpoint(n).upstream for n in range(1, MOST_ENDED + 1)]
+        names = [
+            build_endpoint(n).upstream for n in range(1, CRASHES_UNTIL_QUARANTINE + 1)
+        ]
         for name in names:
             front.runtime.instance.directory.remove(name, front.runtime.now())
         front.add(9, healthy)
         await send(front, 200)
-        for number in range(1, MOST_ENDED + 1):
+        for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             gone = build_endpoint(number, address=hanging)
             apply_changes(front, EndpointNews(gone, is_gone=True))
         await send(front, 200)
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -2,7 +2,7 @@
 
 from scalebend.core.claims import Claim
 from scalebend.core.consensus.messages import DiskId, HardState, Recovered
-from scalebend.core.crash_ledger import MOST_ENDED
+from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
 from scalebend.core.instance import Instance
 from scalebend.core.messages import Datagram
 from scalebend.exceptions import ErrorKind
@@ -53,9 +53,9 @@
 
 
 def crash_engines(instance, request):
-    for number in range(MOST_ENDED):
+    for number in range(CRASHES_UNTIL_QUARANTINE):
         name = UpstreamId(f"engine-{number}")
-        instance.entry.crashes.note_lost(request, name, Incarnation(1), 1.0)
+        instance.entry.crashes.record_crash(request, name, Incarnation(1), 1.0)
 
 
 def send_rumors(sender, receiver):
@@ -71,11 +71,14 @@
     crash_engines(first, request)
     send_rumors(first, second)
     send_rumors(second, third)
-    assert third.entry.crashes.find_hold(request, 1.0).kind is ErrorKind.ENDS_UPSTREAMS
+    assert (
+        third.entry.crashes.find_quarantine(request, 1.0).kind
+        is ErrorKind.ENDS_UPSTREAMS
+    )
     # A later success clears the record at all instances.
-    second.entry.crashes.note_answered(request, 1.0)
+    second.entry.crashes.record_response(request, 1.0)
     send_rumors(second, first)
-    assert first.entry.crashes.find_hold(request, 1.0) is None
+    assert first.entry.crashes.find_quarantine(request, 1.0) is None
 
 
 def test_catalog_page_carries_crash_records():
@@ -83,4 +86,4 @@
     first, starting = build_instance("a"), build_instance("b")
     crash_engines(first, request)
     starting.upstream_updates.apply_page(first.upstream_updates.build_page(), 2.0)
-    assert starting.entry.crashes.find_hold(request, 2.0) is not None
+    assert starting.entry.crashes.find_quarantine(request, 2.0) is not None
