--- a/tests/unit/gateway/test_incarnations.py
+++ b/tests/unit/gateway/test_incarnations.py
@@ -116,14 +116,14 @@
     old, new = build_incarnation(1), build_incarnation(2)
     work = build_quick(1)
     scheduler.place(work, (old,), PROFILE, 0.0)
-    scheduler.note_failure(old.upstream, 0.0)
-    scheduler.note_pace(ReplicaPace(old.upstream, 4.0), 0.0)
+    scheduler.record_failure(old.upstream, 0.0)
+    scheduler.record_pace(ReplicaPace(old.upstream, 4.0), 0.0)
     expected = EngineScheduler().place(build_quick(2), (new,), PROFILE, 0.1)
     after = scheduler.place(build_quick(2), (new,), PROFILE, 0.1)
     assert after == expected
     assert new.upstream not in scheduler.summarise(0.2).suspect
     # A late failure of the old incarnation does not affect the new one.
-    scheduler.note_failure(old.upstream, 0.2)
+    scheduler.record_failure(old.upstream, 0.2)
     assert scheduler.summarise(0.2).suspect == [old.upstream]
 
 
