--- a/src/scalebend/edges/gateway/__init__.py
+++ b/src/scalebend/edges/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, files and timers of fronts and control instances."""
+"""Sockets, files and timers of front and control instances."""
--- a/src/scalebend/edges/gateway/answer_news.py
+++ b/src/scalebend/edges/gateway/answer_news.py
@@ -1,4 +1,4 @@
-"""Takes what an upstream says of itself in the head of an answer."""
+"""Applies what an upstream says about itself in the head of a response."""
 
 from __future__ import annotations
 
@@ -13,49 +13,50 @@
 
 
 def hear_answer(
-    runtime: FrontRuntime, call: Call, known: RequestLimit, read: AnswerHeaders
+    runtime: FrontRuntime, call: Call, known: RequestLimit, headers: AnswerHeaders
 ) -> None:
-    """Take the head of an answer to ``call``; ``known`` is from before it was sent.
+    """Apply the head of a response to ``call``.
 
-    An answer to another request tells nothing: it may be older than what is known.
+    ``known`` is the rate limit known when the request was sent. A response to another
+    request is ignored: it may be older than what is known.
     """
-    if read.request not in (None, call.headers.request):
+    if headers.request not in (None, call.headers.request):
         return
-    for name in read.unknown_words:
+    for name in headers.unknown_words:
         runtime.note_unknown_word(known.upstream, name)
-    _hear_limit(runtime, known, read)
-    _hear_backoff(runtime, call, known.upstream, read)
-    if read.is_draining and runtime.hear_draining(known.upstream):
+    _record_limit(runtime, known, headers)
+    _record_backoff(runtime, call, known.upstream, headers)
+    if headers.is_draining and runtime.hear_draining(known.upstream):
         logger.info(
             "draining heard", request=call.headers.request, upstream=known.upstream
         )
 
 
-def _hear_limit(
-    runtime: FrontRuntime, known: RequestLimit, read: AnswerHeaders
+def _record_limit(
+    runtime: FrontRuntime, known: RequestLimit, headers: AnswerHeaders
 ) -> None:
-    """That there is no limit follows only from an answer to a request that ran."""
-    if read.request_limit is None:
+    """Record the rate limit; only a request that ran shows that there is none."""
+    if headers.request_limit is None:
         return
-    if read.has_not_run and read.request_limit == UNLIMITED:
+    if headers.has_not_run and headers.request_limit == UNLIMITED:
         return
-    heard = HeardLimit(known.upstream, read.request_limit, known.revision)
-    runtime.hear_limit(heard)
+    observed = HeardLimit(known.upstream, headers.request_limit, known.revision)
+    runtime.hear_limit(observed)
 
 
-def _hear_backoff(
-    runtime: FrontRuntime, call: Call, upstream: UpstreamId, read: AnswerHeaders
+def _record_backoff(
+    runtime: FrontRuntime, call: Call, upstream: UpstreamId, headers: AnswerHeaders
 ) -> None:
-    if read.has_unreadable_backoff:
+    if headers.has_unreadable_backoff:
         logger.info(
             "backoff not readable", request=call.headers.request, upstream=upstream
         )
-    if read.backoff is None:
+    if headers.backoff is None:
         return
     logger.info(
         "backoff heard",
         request=call.headers.request,
         upstream=upstream,
-        seconds=read.backoff,
+        seconds=headers.backoff,
     )
-    runtime.hear_backoff(upstream, read.backoff)
+    runtime.hear_backoff(upstream, headers.backoff)
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends one admitted request to upstreams until one answers, and passes that on."""
+"""Forwards one admitted request to upstreams, with retries, and their response."""
 
 from __future__ import annotations
 
@@ -42,45 +42,44 @@
 
 logger = structlog.get_logger(__name__)
 
-QUICK_TARGET = 0.5
-"""Seconds; requests with a shorter target are let in first at the engines."""
+QUICK_TARGET_S = 0.5
+"""Requests with a latency target up to this get the higher priority at engines."""
 
 QUICK_URGENCY = 3
-USUAL_URGENCY = 5
-"""Urgency at the engines, 0 to 9, the lowest first; 5 is what they assume."""
+DEFAULT_URGENCY = 5
+"""Priority at the engines, 0 to 9, the lowest first; 5 is their default."""
 
+_REFUSAL_KINDS = (ErrorKind.OVERLOADED, ErrorKind.NO_UPSTREAM, ErrorKind.ENDS_UPSTREAMS)
+"""Error kinds of requests that no upstream accepted."""
 
-_REFUSALS = (ErrorKind.OVERLOADED, ErrorKind.NO_UPSTREAM, ErrorKind.ENDS_UPSTREAMS)
-"""Kinds with which a request ends that no upstream was sent."""
-
-_CUT_ERRORS = (
+_CONNECTION_ERRORS = (
     aiohttp.ServerDisconnectedError,
     aiohttp.ClientPayloadError,
     OSError,
 )
-"""The connection ended. What remains are answers that are no HTTP or no events: who
-sends such is not at its end."""
+"""The connection was lost, as in a crash. Other client errors are malformed responses,
+which only a running upstream sends."""
 
 
 class StreamBrokenError(Exception):
-    """A stream that the caller already reads cannot be finished."""
+    """A stream that has already been started to the caller cannot be completed."""
 
 
-class _Ended(msgspec.Struct, frozen=True):
-    """How one attempt ended; ``answer`` is the upstream's own, if it gave one."""
+class _AttemptResult(msgspec.Struct, frozen=True):
+    """Result of one attempt; ``response`` is that of the upstream, if there was one."""
 
     outcome: Outcome
-    answer: web.StreamResponse | None = None
+    response: web.StreamResponse | None = None
     detail: str = ""
     faulty: UpstreamId | None = None
-    """The upstream at fault, where it is another than the one that answered."""
+    """The upstream at fault, if it is not the one that was sent the request."""
 
-    is_cut: bool = False
-    """Whether the connection ended before the answer did, as when a process ends."""
+    is_connection_lost: bool = False
+    """Whether the connection was lost before the response was complete."""
 
     @property
-    def is_group_damaged(self) -> bool:
-        """Whether one that takes part was found missing; others may be, too."""
+    def has_unavailable_member(self) -> bool:
+        """Whether an upstream of the placement is unavailable; others may be, too."""
         if self.outcome is Outcome.NOT_SENT:
             return True
         is_unused = self.outcome in (Outcome.REJECTED, Outcome.LEFT)
@@ -88,7 +87,7 @@
 
 
 class Forwarder:
-    """One request of a caller."""
+    """Forwards one request of a caller."""
 
     def __init__(
         self,
@@ -110,75 +109,80 @@
         self._stream: web.StreamResponse | None = None
         self._event_at = 0.0
         self.first_event: float | None = None
-        """Seconds from the request's arrival to the first event passed on."""
+        """Seconds from the arrival of the request to the first forwarded event."""
 
         self.longest_gap = 0.0
-        """Longest pause between events passed on, in seconds."""
+        """Longest gap between forwarded events, in seconds."""
 
         self.sent = 0
-        """Times that the request was sent to an upstream."""
+        """Number of times that the request was sent to an upstream."""
 
         self.upstream: UpstreamId | None = None
-        """Where it was sent last."""
+        """The upstream of the last attempt."""
 
     async def forward(self) -> web.StreamResponse:
-        """Return the answer for the caller, or raise what it is refused with."""
+        """Return the response for the caller.
+
+        Raises :class:`RefusedError` if no upstream accepted the request,
+        :class:`UpstreamError` if its attempts failed, and :class:`StreamBrokenError`
+        if they failed after the start of a stream.
+        """
         runtime, call = self._runtime, self._call
         runtime.instance.retries.record_request(call.service, runtime.now())
         while True:
-            hold = self._compute_hold()
-            if hold > 0.0:
+            quarantine_s = self._compute_quarantine()
+            if quarantine_s > 0.0:
                 runtime.metrics.count_held_request()
-                self._choice.retry_after = hold
-                decision = self._attempts.refuse(ErrorKind.ENDS_UPSTREAMS)
-                return self._give_up(decision, None)
+                self._choice.retry_after = quarantine_s
+                refusal = self._attempts.refuse(ErrorKind.ENDS_UPSTREAMS)
+                return self._give_up(refusal, None)
             async with self._choice.choose() as target:
                 if target is None:
-                    decision = self._attempts.refuse(ErrorKind.NO_UPSTREAM)
-                    return self._give_up(decision, None)
-                ended = await self._attempt(target)
-            runtime.metrics.count_attempt(ended.outcome.value)
-            if ended.outcome in (Outcome.ANSWERED, Outcome.FAILED):
-                # A whole answer, even of a failure: it survived the request.
+                    refusal = self._attempts.refuse(ErrorKind.NO_UPSTREAM)
+                    return self._give_up(refusal, None)
+                result = await self._attempt(target)
+            runtime.metrics.count_attempt(result.outcome.value)
+            if result.outcome in (Outcome.ANSWERED, Outcome.FAILED):
+                # Even a complete error response shows that the request crashed nothing.
                 runtime.note_answered(self._fingerprint)
-            if ended.outcome is Outcome.ANSWERED:
+            if result.outcome is Outcome.ANSWERED:
                 runtime.instance.record_outcome(target.upstream, has_failed=False)
-                assert ended.answer is not None
-                return ended.answer
-            judged = self._judge(target, ended)
-            if isinstance(judged, GiveUp):
-                return self._give_up(judged, ended.answer)
-            if ended.is_group_damaged:
+                assert result.response is not None
+                return result.response
+            decision = self._decide(target, result)
+            if isinstance(decision, GiveUp):
+                return self._give_up(decision, result.response)
+            if result.has_unavailable_member:
                 await self._choice.exclude_silent(target)
 
-    def _compute_hold(self) -> float:
-        """Seconds for which the request must not be sent, since it ends upstreams."""
+    def _compute_quarantine(self) -> float:
+        """Return the seconds until the quarantine of the request ends, or 0."""
         runtime = self._runtime
         return runtime.instance.crashes.compute_hold(self._fingerprint, runtime.now())
 
     def _compute_backoff(self) -> float:
-        """Seconds until any upstream of the service may be sent a request."""
+        """Return the seconds until an upstream of the service leaves backoff."""
         runtime = self._runtime
         return runtime.instance.compute_backoff(self._call.service, (), runtime.now())
 
-    def _judge(self, target: Target, ended: _Ended) -> TryAgain | GiveUp:
+    def _decide(self, target: Target, result: _AttemptResult) -> TryAgain | GiveUp:
         runtime = self._runtime
-        faulty = ended.faulty or target.upstream
-        if ended.is_cut:
+        faulty = result.faulty or target.upstream
+        if result.is_connection_lost:
             runtime.note_lost(self._fingerprint, faulty)
-        if ended.outcome in (Outcome.SILENT, Outcome.TIMED_OUT):
+        if result.outcome in (Outcome.SILENT, Outcome.TIMED_OUT):
             runtime.note_unanswered(self._fingerprint, target.upstream)
-        if ended.outcome in (Outcome.NOT_SENT, Outcome.SILENT):
+        if result.outcome in (Outcome.NOT_SENT, Outcome.SILENT):
             runtime.instance.balancer.record_unreachable(target.upstream, runtime.now())
-        # Silence alone may be a queue: reports tell whether the replica is alive.
-        if ended.outcome is Outcome.NOT_SENT:
+        # A timeout alone may mean a queue: reports tell whether the replica is alive.
+        if result.outcome is Outcome.NOT_SENT:
             runtime.note_replica_failure(faulty)
-        if ended.outcome is Outcome.REJECTED and target.job is not None:
+        if result.outcome is Outcome.REJECTED and target.job is not None:
             runtime.note_rejection(faulty)
-        if ended.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
+        if result.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
             runtime.instance.record_outcome(faulty, has_failed=True)
         decision = self._attempts.decide(
-            ended.outcome,
+            result.outcome,
             faulty,
             runtime.instance.retries,
             runtime.now(),
@@ -190,22 +194,22 @@
             fingerprint=self._fingerprint,
             upstream=target.upstream,
             address=target.address,
-            outcome=ended.outcome.value,
+            outcome=result.outcome.value,
             faulty=faulty,
-            detail=ended.detail,
+            detail=result.detail,
             last_event=self._cursor.last_event,
             decision=type(decision).__name__,
         )
         return decision
 
     def _give_up(
-        self, decision: GiveUp, answer: web.StreamResponse | None
+        self, decision: GiveUp, response: web.StreamResponse | None
     ) -> web.StreamResponse:
         if self._stream is not None:
             raise StreamBrokenError
-        if decision.passes_response and answer is not None:
-            return answer
-        if decision.kind in _REFUSALS:
+        if decision.passes_response and response is not None:
+            return response
+        if decision.kind in _REFUSAL_KINDS:
             raise RefusedError(
                 "no upstream took the request",
                 kind=decision.kind,
@@ -213,50 +217,59 @@
                 retry_after=max(self._choice.retry_after, self._compute_backoff()),
             )
         raise UpstreamError(
-            "no upstream answered whole", kind=decision.kind, ran=decision.ran
+            "no upstream sent a complete response", kind=decision.kind, ran=decision.ran
         )
 
     # One attempt
 
-    async def _attempt(self, target: Target) -> _Ended:
+    async def _attempt(self, target: Target) -> _AttemptResult:
         if target.lost is not None:
-            return _Ended(Outcome.LEFT, detail="not sent", faulty=target.lost)
-        if self._compute_hold() > 0.0:
-            # It became known while the request waited for its turn.
-            return _Ended(Outcome.LEFT, detail="held back")
+            return _AttemptResult(Outcome.LEFT, detail="not sent", faulty=target.lost)
+        if self._compute_quarantine() > 0.0:
+            # The quarantine began while the request waited to be sent.
+            return _AttemptResult(Outcome.LEFT, detail="held back")
         if not self._runtime.instance.may_send(target.upstream, self._runtime.now()):
-            # It said so after it was chosen: in answers, or by its registration.
-            return _Ended(Outcome.LEFT, detail="takes nothing now")
+            # Backoff or draining began after the upstream was chosen.
+            return _AttemptResult(Outcome.LEFT, detail="takes nothing now")
         attempts = self._runtime.attempts
         with attempts.watch(self._call.deadline, target.upstreams) as running:
             try:
                 async with running.limit:
                     return await self._exchange(target, running)
-            # Also a TimeoutError, but the connector's own: the deadline comes later.
+            # Also a TimeoutError, but of the connector, before the deadline.
             except aiohttp.ConnectionTimeoutError:
-                return _Ended(Outcome.NOT_SENT, detail="connection timed out")
+                return _AttemptResult(Outcome.NOT_SENT, detail="connection timed out")
             except aiohttp.ClientConnectorError as error:
-                return _Ended(Outcome.NOT_SENT, detail=str(error))
+                return _AttemptResult(Outcome.NOT_SENT, detail=str(error))
             except SilentError:
-                return _Ended(Outcome.SILENT)
+                return _AttemptResult(Outcome.SILENT)
             except (aiohttp.ClientError, OSError, GarbledEventsError) as error:
                 if not running.limit.expired():
                     detail = f"{type(error).__name__}: {error}"
-                    is_cut = isinstance(error, _CUT_ERRORS)
-                    return _Ended(Outcome.BROKEN, detail=detail, is_cut=is_cut)
+                    is_connection_lost = isinstance(error, _CONNECTION_ERRORS)
+                    return _AttemptResult(
+                        Outcome.BROKEN,
+                        detail=detail,
+                        is_connection_lost=is_connection_lost,
+                    )
             if running.ended_with is None:
-                return _Ended(Outcome.TIMED_OUT)
+                return _AttemptResult(Outcome.TIMED_OUT)
             detail = f"{running.ended_with} started again"
-            return _Ended(
-                Outcome.BROKEN, detail=detail, faulty=running.ended_with, is_cut=True
+            return _AttemptResult(
+                Outcome.BROKEN,
+                detail=detail,
+                faulty=running.ended_with,
+                is_connection_lost=True,
             )
 
-    async def _exchange(self, target: Target, running: RunningAttempt) -> _Ended:
+    async def _exchange(
+        self, target: Target, running: RunningAttempt
+    ) -> _AttemptResult:
         call = self._call
-        # After a connection that broke or fell silent, a pooled one may be as dead.
+        # After a broken or unresponsive connection, pooled ones may be dead, too.
         may_pool = call.route.may_repeat and not self._attempts.may_have_run
         session = self._runtime.sessions.choose(may_pool=may_pool)
-        patience = self._compute_patience(target)
+        read_timeout = self._compute_read_timeout(target)
         sending = session.request(
             call.method,
             URL(f"http://{target.address}{call.target}", encoded=True),
@@ -265,15 +278,17 @@
             allow_redirects=False,
             timeout=build_timeout(call.deadline - self._runtime.now()),
         )
-        limit = self._note_sent(target)
-        answer = await self._await_head(target, sending, patience)
-        async with answer:
-            read = read_answer_headers(answer.status, answer.headers)
-            hear_answer(self._runtime, call, limit, read)
-            return await self._take_answer(target, running, answer, read, patience)
-
-    def _note_sent(self, target: Target) -> RequestLimit:
-        """Count an attempt; return the limit of its upstream as known now."""
+        limit = self._record_sent(target)
+        response = await self._wait_for_head(target, sending, read_timeout)
+        async with response:
+            head = read_answer_headers(response.status, response.headers)
+            hear_answer(self._runtime, call, limit, head)
+            return await self._process_response(
+                target, running, response, head, read_timeout
+            )
+
+    def _record_sent(self, target: Target) -> RequestLimit:
+        """Count an attempt; return the currently known rate limit of its upstream."""
         runtime = self._runtime
         limit = runtime.instance.limits.get(target.upstream)
         if limit.rate < UNLIMITED:
@@ -290,15 +305,15 @@
         self.upstream = target.upstream
         return limit
 
-    async def _await_head(
+    async def _wait_for_head(
         self,
         target: Target,
         sending: Awaitable[aiohttp.ClientResponse],
-        patience: float | None,
+        read_timeout: float | None,
     ) -> aiohttp.ClientResponse:
-        """Wait for the head, longer where the replica says that requests queue."""
+        """Wait for the response head, longer if the replica reports queued requests."""
         with own_answer(sending) as task:
-            while not await wait_for_task(task, patience):
+            while not await wait_for_task(task, read_timeout):
                 if not self._runtime.is_queueing(target.upstream):
                     raise SilentError
             return task.result()
@@ -307,8 +322,8 @@
         call = self._call
         urgency = None
         if target.job is not None:
-            is_quick = call.route.target_latency <= QUICK_TARGET
-            urgency = QUICK_URGENCY if is_quick else USUAL_URGENCY
+            is_quick = call.route.target_latency <= QUICK_TARGET_S
+            urgency = QUICK_URGENCY if is_quick else DEFAULT_URGENCY
         return build_upstream_headers(
             self._request.headers,
             call,
@@ -319,76 +334,80 @@
             urgency=urgency,
         )
 
-    def _compute_patience(self, target: Target) -> float | None:
+    def _compute_read_timeout(self, target: Target) -> float | None:
         if not self._call.route.may_repeat:
             return None
         return compute_first_byte_timeout(self._call.route, target.predicted)
 
-    async def _take_answer(
+    async def _process_response(
         self,
         target: Target,
         running: RunningAttempt,
-        answer: aiohttp.ClientResponse,
-        read: AnswerHeaders,
-        patience: float | None,
-    ) -> _Ended:
-        self._choice.load = read.load
-        if read.request is not None and read.request != self._call.headers.request:
-            answer.close()
-            return _Ended(Outcome.BROKEN, detail="answer to another request")
-        if read.has_not_run and answer.status >= 400:
-            await read_whole(answer, patience)
-            detail = f"status {answer.status}"
-            faulty = target.find_helper(read.faulty_address)
-            return _Ended(Outcome.REJECTED, None, detail, faulty)
+        response: aiohttp.ClientResponse,
+        head: AnswerHeaders,
+        read_timeout: float | None,
+    ) -> _AttemptResult:
+        self._choice.load = head.load
+        if head.request is not None and head.request != self._call.headers.request:
+            response.close()
+            return _AttemptResult(Outcome.BROKEN, detail="answer to another request")
+        if head.has_not_run and response.status >= 400:
+            await read_whole(response, read_timeout)
+            detail = f"status {response.status}"
+            faulty = target.find_helper(head.faulty_address)
+            return _AttemptResult(Outcome.REJECTED, None, detail, faulty)
         is_stream = self._call.route.kind is RouteKind.STREAMING
-        if is_stream and answer.status == 200:
-            return await self._pass_events(target, running, answer)
-        body = await read_whole(answer, patience)
-        passed = web.Response(
-            status=answer.status,
-            reason=answer.reason,
-            headers=copy_answer_headers(answer.headers),
+        if is_stream and response.status == 200:
+            return await self._forward_events(target, running, response)
+        body = await read_whole(response, read_timeout)
+        forwarded = web.Response(
+            status=response.status,
+            reason=response.reason,
+            headers=copy_answer_headers(response.headers),
             body=body,
         )
-        if answer.status >= 500:
-            return _Ended(Outcome.FAILED, passed, detail=f"status {answer.status}")
+        if response.status >= 500:
+            return _AttemptResult(
+                Outcome.FAILED, forwarded, detail=f"status {response.status}"
+            )
         self._choice.has_failed = False
-        return _Ended(Outcome.ANSWERED, passed)
+        return _AttemptResult(Outcome.ANSWERED, forwarded)
 
-    async def _pass_events(
-        self, target: Target, running: RunningAttempt, answer: aiohttp.ClientResponse
-    ) -> _Ended:
+    async def _forward_events(
+        self, target: Target, running: RunningAttempt, response: aiohttp.ClientResponse
+    ) -> _AttemptResult:
         cursor = self._cursor
         cursor.restart()
-        between = compute_event_timeout(self._call.route)
-        patience = compute_first_byte_timeout(self._call.route, target.predicted)
+        event_timeout = compute_event_timeout(self._call.route)
+        read_timeout = compute_first_byte_timeout(self._call.route, target.predicted)
         is_first = True
         while True:
-            data = await read_available(answer.content, patience)
+            data = await read_available(response.content, read_timeout)
             if not data:
                 break
-            passed = cursor.feed(data)
-            if not passed.data:
+            forwarded = cursor.feed(data)
+            if not forwarded.data:
                 continue
-            if answer.content.is_eof():
+            if response.content.is_eof():
                 running.keep_only(())
             elif is_first:
                 running.keep_only(target.holders)
             if is_first:
                 self._choice.note_first_token(target)
             is_first = False
-            patience = between
-            self._note_events()
-            stream = self._stream or await self._open_stream(answer)
-            await stream.write(passed.data)
+            read_timeout = event_timeout
+            self._record_event_time()
+            stream = self._stream or await self._open_stream(response)
+            await stream.write(forwarded.data)
         if cursor.has_partial:
-            return _Ended(Outcome.BROKEN, detail="ended inside an event", is_cut=True)
-        stream = self._stream or await self._open_stream(answer)
+            return _AttemptResult(
+                Outcome.BROKEN, detail="ended inside an event", is_connection_lost=True
+            )
+        stream = self._stream or await self._open_stream(response)
         await stream.write_eof()
-        return _Ended(Outcome.ANSWERED, stream)
+        return _AttemptResult(Outcome.ANSWERED, stream)
 
-    def _note_events(self) -> None:
+    def _record_event_time(self) -> None:
         now = self._runtime.now()
         if self.first_event is None:
             self.first_event = now - self._call.arrived
@@ -396,20 +415,22 @@
             self.longest_gap = max(self.longest_gap, now - self._event_at)
         self._event_at = now
 
-    async def _open_stream(self, answer: aiohttp.ClientResponse) -> web.StreamResponse:
+    async def _open_stream(
+        self, response: aiohttp.ClientResponse
+    ) -> web.StreamResponse:
         call = self._call
         stream = web.StreamResponse(
-            status=answer.status,
-            reason=answer.reason,
-            headers=copy_answer_headers(answer.headers),
+            status=response.status,
+            reason=response.reason,
+            headers=copy_answer_headers(response.headers),
         )
         if self._runtime.wants_callers_to_go():
             stream.force_close()
         self._stream = stream
         await stream.prepare(self._request)
         if call.headers.prompt is not None:
-            elapsed = self._runtime.now() - call.arrived
+            elapsed_s = self._runtime.now() - call.arrived
             self._runtime.metrics.observe_first_event(
-                call.headers.prompt.prompt, elapsed
+                call.headers.prompt.prompt, elapsed_s
             )
         return stream
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -1,4 +1,4 @@
-"""A front's HTTP: it admits requests of callers, and tells readiness and metrics."""
+"""HTTP of a front: admits requests of callers; serves readiness and metrics."""
 
 from __future__ import annotations
 
@@ -39,19 +39,20 @@
 logger = structlog.get_logger(__name__)
 
 LAST_ADMISSION = 2.8
-"""Seconds after the stop signal for which requests are still admitted: the balancer
-asks every second and needs two failed answers. What comes later may not end in time."""
+"""Seconds after the stop signal for which requests are still admitted: the load
+balancer probes every second and needs two failed probes. Later requests may not finish
+before the kill."""
 
-STOPPING_PAUSE = 0.05
-"""Seconds after which a caller may come back: another front will take it."""
+STOPPING_RETRY_AFTER_S = 0.05
+"""``Retry-After`` while this front stops: another front takes the retry."""
 
-STARTING_PAUSE = 1.0
-"""Seconds after which a caller may come back to a process that was never ready yet:
-where all were restarted, a leader is elected and leases are given by then."""
+STARTING_RETRY_AFTER_S = 1.0
+"""``Retry-After`` of a front that was never ready: after a restart of all processes a
+leader is elected and leases are granted within this time."""
 
 
 class _Arrival(msgspec.Struct):
-    """What is known so far of a request that came; ``at`` is on the steady clock."""
+    """What is known so far of a received request; ``at`` is in monotonic seconds."""
 
     headers: CallerHeaders
     at: float
@@ -61,13 +62,13 @@
 
 
 class CallerHandler:
-    """Admits requests of callers and answers them."""
+    """Admits requests of callers and responds to them."""
 
     def __init__(self, runtime: FrontRuntime) -> None:
         self._runtime = runtime
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request."""
         runtime = self._runtime
         arrived = runtime.now()
         arrival = _Arrival(read_caller_headers(request.headers), arrived)
@@ -83,16 +84,16 @@
             )
             forwarder = Forwarder(runtime, call, request, body, arrival.fingerprint)
             arrival.forwarder = forwarder
-            answer = await forwarder.forward()
-            self._log(arrival, answer.status, None, forwarder)
+            response = await forwarder.forward()
+            self._log(arrival, response.status, None, forwarder)
         except ScalebendError as error:
-            answer = _build_failure(error, arrival.headers)
-            self._log(arrival, answer.status, error)
+            response = _build_error_response(error, arrival.headers)
+            self._log(arrival, response.status, error)
         except StreamBrokenError:
-            answer = web.Response(status=502)
+            response = web.Response(status=502)
             self._log(arrival, 0, None)
             if request.transport is not None:
-                # Without its end mark, the stream cannot be taken for whole.
+                # Without its final chunk, the stream is incomplete for the caller.
                 request.transport.abort()
         except (ConnectionError, asyncio.CancelledError):
             logger.info(
@@ -105,8 +106,8 @@
             runtime.open_requests -= 1
             runtime.metrics.set_open(runtime.open_requests)
         if runtime.wants_callers_to_go():
-            answer.force_close()
-        return answer
+            response.force_close()
+        return response
 
     def _find_route(self, request: web.BaseRequest) -> Route:
         instance = self._runtime.instance
@@ -125,9 +126,9 @@
         route: Route,
     ) -> Call:
         table = self._runtime.instance.table
-        wait = route.timeout
+        timeout_s = route.timeout
         if arrival.headers.wait is not None:
-            wait = min(wait, arrival.headers.wait)
+            timeout_s = min(timeout_s, arrival.headers.wait)
         return Call(
             headers=arrival.headers,
             route=route,
@@ -136,7 +137,7 @@
             method=request.method,
             target=request.raw_path,
             arrived=arrival.at,
-            deadline=arrival.at + wait,
+            deadline=arrival.at + timeout_s,
         )
 
     def _identify(self, headers: CallerHeaders, route: Route) -> CustomerId | None:
@@ -151,39 +152,41 @@
     async def _read_body(self, request: web.BaseRequest, call: Call) -> bytes:
         if not request.can_read_body:
             return b""
-        most = self._runtime.instance.table.routing.limits.body_bytes
+        max_bytes = self._runtime.instance.table.routing.limits.body_bytes
         size = request.content_length
-        if size is not None and size > most:
-            raise _too_large(most)
+        if size is not None and size > max_bytes:
+            raise _build_too_large_error(max_bytes)
         try:
             async with asyncio.timeout_at(call.deadline):
                 body = await request.read()
         except TimeoutError:
             raise RequestError("the body did not arrive in time") from None
-        if len(body) > most:
-            raise _too_large(most)
-        # Time passed while the body came: the key may have been revoked meanwhile.
+        if len(body) > max_bytes:
+            raise _build_too_large_error(max_bytes)
+        # The API key may have been revoked while the body arrived.
         self._check_admission(self._runtime.now() + LEASE_MARGIN_S / 2)
         return body
 
     def _check_stopping(self, now: float) -> None:
-        began = self._runtime.drain_began
-        if began is not None and now - began > LAST_ADMISSION:
+        drain_began = self._runtime.drain_began
+        if drain_began is not None and now - drain_began > LAST_ADMISSION:
             raise RefusedError(
-                "this front stops",
+                "this front is stopping",
                 kind=ErrorKind.NOT_READY,
-                retry_after=STOPPING_PAUSE,
+                retry_after=STOPPING_RETRY_AFTER_S,
             )
 
     def _check_admission(self, now: float) -> None:
         instance = self._runtime.instance
         if instance.may_admit(now):
             return
-        pause = RETRY_LATER if instance.has_been_ready else STARTING_PAUSE
+        retry_after_s = (
+            RETRY_LATER if instance.has_been_ready else STARTING_RETRY_AFTER_S
+        )
         raise RefusedError(
-            "the routing document may be outdated here",
+            "the routing document of this front may be outdated",
             kind=ErrorKind.NOT_READY,
-            retry_after=pause,
+            retry_after=retry_after_s,
         )
 
     def _log(
@@ -216,7 +219,7 @@
 
 
 def _describe_events(forwarder: Forwarder | None) -> dict[str, float]:
-    """Log fields of a stream's timing; none for other answers."""
+    """Return the log fields of the timing of a stream; none for other responses."""
     if forwarder is None or forwarder.first_event is None:
         return {}
     return {
@@ -226,34 +229,36 @@
 
 
 def _describe_attempts(forwarder: Forwarder | None) -> dict[str, object]:
-    """Log fields of where a request was sent; none if it was not admitted."""
+    """Return the log fields of the attempts; none if the request was not admitted."""
     if forwarder is None:
         return {}
     return {"upstream": forwarder.upstream, "sent": forwarder.sent}
 
 
-def _too_large(most: int) -> RequestError:
+def _build_too_large_error(max_bytes: int) -> RequestError:
     return RequestError(
-        f"the body may have {most} bytes", kind=ErrorKind.BODY_TOO_LARGE
+        f"the body may have {max_bytes} bytes", kind=ErrorKind.BODY_TOO_LARGE
     )
 
 
-def _build_failure(error: ScalebendError, headers: CallerHeaders) -> web.Response:
-    answer = build_problem_body(error, headers.request)
+def _build_error_response(
+    error: ScalebendError, headers: CallerHeaders
+) -> web.Response:
+    response = build_problem_body(error, headers.request)
     if headers.request:
-        answer.headers[REQUEST_ID] = headers.request
+        response.headers[REQUEST_ID] = headers.request
     if error.retry_after is not None and error.ran is Ran.NO:
-        answer.headers["Retry-After"] = format_retry_after(error.retry_after)
-    return answer
+        response.headers["Retry-After"] = format_retry_after(error.retry_after)
+    return response
 
 
 @contextlib.asynccontextmanager
 async def serve_calls(
     settings: GatewaySettings, listeners: Listeners, runtime: FrontRuntime
 ) -> AsyncIterator[web.SockSite]:
-    """Answer callers, and whoever asks for readiness and metrics.
+    """Serve callers, readiness and metrics.
 
-    What is returned is the listener for callers, to be stopped first.
+    Yields the listener for callers, which is to be stopped first.
     """
     assert settings.callers_address is not None
     assert settings.readiness_address is not None
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -1,4 +1,4 @@
-"""Runs one front: its links to control, its timers, and placement of engine work."""
+"""Runs one front: links to control instances, timers, and placement of engine work."""
 
 from __future__ import annotations
 
@@ -54,25 +54,23 @@
 
 logger = structlog.get_logger(__name__)
 
-TICK = 0.05
-"""Seconds between two calls of the core's timers."""
+TICK_S = 0.05
+"""Interval at which the timers of the core run."""
 
-CLOSE_TIMEOUT = 0.3
-"""Seconds for orders that are under way when the process stops."""
+CLOSE_TIMEOUT_S = 0.3
+"""Time for background requests to finish when the process stops."""
 
-STARTING_WAIT = 1.5
-"""Seconds for which a request waits at a process that has just started: after a restart
-of all, control processes that share their machines are ready about a second after the
-first fronts, and callers whose attempts are used up would be lost if they were refused:
-30 of 43 in a second at one front that waited 0.6 s and got its lease after 1.1 s."""
+FIRST_LEASE_TIMEOUT_S = 1.5
+"""Time for which a request waits for the first lease of a process: after a restart of
+all, control processes are ready about a second after the first fronts, and callers on
+their last retry would fail if they were refused."""
 
 MOST_UNKNOWN_WORDS = 32
-LONGEST_WORD = 64
-"""Names of headers that are counted each by itself, and characters of one: upstreams
-choose them."""
+MAX_HEADER_NAME_CHARS = 64
+"""Bounds of header names in metrics and logs, since upstreams choose the names."""
 
-LEAST_WAIT = 0.01
-"""Seconds below which a placement's pause is not worth a timer."""
+MIN_START_DELAY_S = 0.01
+"""Shorter delays of a placement are skipped: not worth a timer."""
 
 
 class FrontRuntime:
@@ -85,15 +83,15 @@
         self._loop = asyncio.get_running_loop()
         self.instance = FrontInstance(settings, now=self.now())
         self._incarnation = time.time_ns()
-        me = Introduce(settings.instance, self._incarnation, settings.role)
+        introduction = Introduce(settings.instance, self._incarnation, settings.role)
         self._dialer = Dialer(
-            me, self._receive, self._note_up, self._note_down, metrics
+            introduction, self._receive, self._add_link, self._remove_link, metrics
         )
         self.attempts = RunningAttempts()
         self._leader_calls = LeaderCalls(self._dialer.send)
         self._sessions: UpstreamSessions | None = None
         self._inspector: Inspector | None = None
-        self._unknown_words: set[str] = set()
+        self._unknown_headers: set[str] = set()
         self._jobs = 0
         self._sends = 0
         self._heartbeat_at = 0.0
@@ -103,19 +101,19 @@
         self.drain_began: float | None = None
 
     def now(self) -> float:
-        """Seconds of the clock that only runs forward."""
+        """Return the monotonic time in seconds."""
         return self._loop.time()
 
     @property
     def sessions(self) -> UpstreamSessions:
-        """Connections to upstreams; there are some while callers are served."""
+        """HTTP sessions to upstreams; set only while callers are served."""
         assert self._sessions is not None
         return self._sessions
 
     @contextlib.asynccontextmanager
     async def use_sessions(self, sessions: UpstreamSessions) -> AsyncIterator[None]:
-        """Send requests to upstreams over ``sessions`` until the block ends."""
-        # Imported with the rest of HTTP, which is loaded after links are up.
+        """Use ``sessions`` for requests to upstreams until the block ends."""
+        # The HTTP modules are loaded late, after the links are up.
         from scalebend.edges.gateway.inspection import Inspector
 
         self._sessions = sessions
@@ -131,7 +129,7 @@
         """Run the timers until cancelled."""
         while True:
             self._tick()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
 
     def _tick(self) -> None:
         now = self.now()
@@ -154,17 +152,17 @@
             self._first_lease.set()
 
     async def wait_for_first_lease(self) -> None:
-        """Wait a little, if this process was never able to admit requests yet."""
+        """Wait for the first lease after the start, up to a timeout."""
         if self._first_lease.is_set():
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STARTING_WAIT):
+            async with asyncio.timeout(FIRST_LEASE_TIMEOUT_S):
                 await self._first_lease.wait()
 
-    def _note_up(self, instance: InstanceId) -> None:
+    def _add_link(self, instance: InstanceId) -> None:
         self.instance.add_link(instance)
 
-    def _note_down(self, instance: InstanceId) -> None:
+    def _remove_link(self, instance: InstanceId) -> None:
         self.instance.remove_link(instance)
 
     def _execute(self, actions: Iterable[FrontAction]) -> None:
@@ -176,61 +174,64 @@
                     self.attempts.end(upstreams)
 
     def spawn(self, work: Coroutine[Any, Any, object]) -> None:
-        """Run ``work`` beside the requests."""
+        """Run ``work`` as a background task."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         await self._dialer.close()
 
     async def _finish_tasks(self) -> None:
-        """Wait a little for what runs beside the requests."""
+        """Wait for background tasks, up to a timeout."""
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT)
+            await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
 
     def wants_callers_to_go(self) -> bool:
-        """Whether callers should send what comes next over another connection."""
+        """Whether responses should close the connections of callers."""
         return self.instance.is_draining or self.instance.is_cut_off(self.now())
 
     # Placement
 
     def build_job_id(self) -> JobId:
-        """Return a name that no other attempt of any front has."""
+        """Return an id that is unique over all attempts of all fronts."""
         self._jobs += 1
         return build_job_id(self.settings.instance, self._incarnation, self._jobs)
 
     async def place(self, work: EngineWork) -> Decision:
-        """Ask the leader where to run; decide alone if it does not answer in time."""
+        """Ask the leader for a placement; place uncoordinated if it does not reply."""
         work = self.instance.exclude_in_backoff(work, self.now())
         leader = self.instance.leader
-        answer = await self._leader_calls.place(leader, work)
+        reply = await self._leader_calls.place(leader, work)
         placed: Placement | Declined | None = None
-        if answer is not None:
-            placed = answer.placement or answer.declined
-        is_own = placed is None
+        if reply is not None:
+            placed = reply.placement or reply.declined
+        is_uncoordinated = placed is None
         if placed is None:
             leader = None
             placed = self.instance.place(work, self.now())
         if isinstance(placed, Placement):
             self._execute(
                 self.instance.open_job(
-                    work, placed, self.now(), is_uncoordinated=is_own
+                    work, placed, self.now(), is_uncoordinated=is_uncoordinated
                 )
             )
-        self.metrics.count_placement("front" if is_own else "leader")
+        self.metrics.count_placement("front" if is_uncoordinated else "leader")
         return Decision(placed, leader)
 
     async def wait_for_turn(
         self, work: EngineWork, placement: Placement
     ) -> Placement | Declined:
-        """Wait until the prompt may be sent; ask now and then if that is sooner."""
+        """Wait until the prompt may be sent.
+
+        Meanwhile, ask the leader periodically for a new placement.
+        """
         while placement.start_in > REPLAN_PERIOD:
             asked_at = self.now()
             await asyncio.sleep(REPLAN_PERIOD)
             renewed = renew_work(work, REPLAN_PERIOD)
-            answer = await self._leader_calls.place(
+            reply = await self._leader_calls.place(
                 self.instance.leader,
                 self.instance.exclude_in_backoff(renewed, self.now()),
                 may_pause=False,
@@ -238,8 +239,8 @@
             waited = self.now() - asked_at
             work = renew_work(work, waited)
             placed = None
-            if answer is not None:
-                placed = answer.placement or answer.declined
+            if reply is not None:
+                placed = reply.placement or reply.declined
             if isinstance(placed, Declined):
                 return placed
             if placed is None:
@@ -247,24 +248,24 @@
                 continue
             placement = placed
             self.instance.record_replanned(work, placement, self.now())
-        if placement.start_in >= LEAST_WAIT:
+        if placement.start_in >= MIN_START_DELAY_S:
             await asyncio.sleep(min(placement.start_in, max(0.0, work.remaining)))
         return placement
 
     def keep_staying(self, work: EngineWork, placement: Placement) -> Placement | None:
-        """The placement without replicas that take nothing; ``None``: place anew."""
-        left = self.instance.list_unusable(placement, self.now())
-        if not left:
+        """Return the placement without unusable replicas; ``None`` to place anew."""
+        unusable = self.instance.list_unusable(placement, self.now())
+        if not unusable:
             return placement
-        kept = drop_replicas(placement, left)
+        kept = drop_replicas(placement, unusable)
         if kept is not None and kept.upstream != placement.upstream:
-            # Another one answers now: nothing was granted there.
+            # There is no send permit for the new lead replica.
             if self.instance.limits.is_limited(kept.upstream):
                 kept = None
         logger.info(
             "replicas of a placement left",
             job=work.job,
-            left=sorted(left),
+            left=sorted(unusable),
             staying=len(kept.upstreams) if kept is not None else 0,
         )
         if kept is not None:
@@ -272,35 +273,35 @@
         return kept
 
     async def request_send(
-        self, upstreams: list[UpstreamId], patience: float
+        self, upstreams: list[UpstreamId], timeout_s: float
     ) -> SendPermitReply:
-        """Ask the leader for a send to one of some limited upstreams.
+        """Ask the leader for a permit to send to one of some rate-limited upstreams.
 
-        Without an answer this front has its own turns, and tells what it sends.
+        Without a reply, grant it from the share of this front and report the send.
         """
         self._sends += 1
-        question = SendPermitRequest(SendId(self._sends), upstreams, patience)
-        answer = await self._leader_calls.request_send(self.instance.leader, question)
-        if answer is not None:
-            return answer
-        alone = self.instance.limits.grant(question, self.now())
-        if alone.upstream is not None:
-            self._execute(self.instance.record_uncoordinated_send(alone.upstream))
-        return alone
+        request = SendPermitRequest(SendId(self._sends), upstreams, timeout_s)
+        reply = await self._leader_calls.request_send(self.instance.leader, request)
+        if reply is not None:
+            return reply
+        grant = self.instance.limits.grant(request, self.now())
+        if grant.upstream is not None:
+            self._execute(self.instance.record_uncoordinated_send(grant.upstream))
+        return grant
 
     def note_first_token(self, job: JobId, load: LoadReading | None) -> None:
-        """The first event of a job came, with the replica's own count of its load."""
+        """Record the first event of a job, and the load that the replica reported."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
         self._execute(self.instance.record_stage(stage, self.now()))
 
     def note_job_ended(self, job: JobId) -> None:
-        """A job ended, well or not."""
+        """Record that a job ended, with or without success."""
         stage = JobStage(job, is_ended=True)
         self._execute(self.instance.record_stage(stage, self.now()))
 
     async def inspect(self, placement: Placement) -> list[UpstreamId]:
-        """Ask the replicas which of them is slow; return those that do not answer."""
+        """Fetch and record reports of the replicas; return the unresponsive ones."""
         addresses = {helper.upstream: helper.address for helper in placement.helpers}
         addresses[placement.upstream] = placement.address
         assert self._inspector is not None
@@ -311,64 +312,64 @@
         return self._inspector.list_silent(addresses, self.now())
 
     def is_queueing(self, upstream: UpstreamId) -> bool:
-        """Whether a replica said lately that requests wait there."""
+        """Whether a recent report of the replica explains a wait by queued requests."""
         if self._inspector is None:
             return False
         return self._inspector.is_queueing(upstream, self.now())
 
     def hear_limit(self, heard: HeardLimit) -> None:
-        """An upstream's answer named the requests a second that it takes, or none."""
+        """Record the rate limit, or its absence, that a response named."""
         self._execute(self.instance.record_limit(heard, self.now()))
 
     def hear_backoff(self, upstream: UpstreamId, seconds: float) -> None:
-        """An upstream turned a request away, and wants nothing for so long."""
+        """Record that an upstream rejected a request and asked for a backoff."""
         self.instance.backoffs.record(upstream, seconds, self.now())
         self.metrics.count_backoff()
 
     def hear_draining(self, upstream: UpstreamId) -> bool:
-        """An upstream said in an answer that it leaves; whether that is news."""
+        """Record that an upstream is draining; return whether this was unknown."""
         actions = self.instance.record_draining(upstream)
         self._execute(actions or [])
         return actions is not None
 
     def note_unknown_word(self, upstream: UpstreamId, name: str) -> None:
-        """An upstream says something of itself by a header that nothing here reads."""
-        word = name.lower()[:LONGEST_WORD]
-        if word not in self._unknown_words:
-            if len(self._unknown_words) >= MOST_UNKNOWN_WORDS:
+        """Count a header of the upstream that this version does not know."""
+        word = name.lower()[:MAX_HEADER_NAME_CHARS]
+        if word not in self._unknown_headers:
+            if len(self._unknown_headers) >= MOST_UNKNOWN_WORDS:
                 word = "other"
             else:
-                self._unknown_words.add(word)
+                self._unknown_headers.add(word)
                 logger.warning("unknown word", upstream=upstream, name=word)
         self.metrics.count_unknown_word(word)
 
     def note_all_closed(self) -> None:
-        """A request is refused, since all upstreams that are left asked for a pause."""
+        """Count a request refused since all remaining upstreams are in backoff."""
         self.metrics.count_backoff_refusal()
 
     def note_limits_full(self) -> None:
-        """A request is refused, since no upstream that might take it has room."""
+        """Count a request refused since all upstreams are at their rate limits."""
         self.metrics.count_limit_refusal()
 
     def note_lost(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """An upstream ended, or cut the request off, while it ran it."""
+        """Record that an upstream crashed or was disconnected during a request."""
         self.metrics.count_lost_request()
         self._execute(self.instance.record_crash(fingerprint, upstream, self.now()))
 
     def note_unanswered(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """An attempt got no answer, and its connection did not end."""
+        """Record an attempt that timed out while its connection stayed open."""
         self.instance.record_unanswered(fingerprint, upstream, self.now())
 
     def note_answered(self, fingerprint: Fingerprint) -> None:
-        """An upstream gave a whole answer to the request."""
+        """Record that an upstream sent a complete response to the request."""
         self._execute(self.instance.record_completed(fingerprint, self.now()))
 
     def note_rejection(self, upstream: UpstreamId) -> None:
-        """An engine turned a request away that it had not run."""
+        """Record that an engine rejected a request without running it."""
         self._execute(self.instance.record_rejection(upstream, self.now()))
 
     def note_replica_failure(self, upstream: UpstreamId) -> None:
-        """A replica could not be reached, or fell silent."""
+        """Record that a replica is unreachable or unresponsive."""
         self._execute(self.instance.record_failure(upstream, self.now()))
 
 
@@ -376,7 +377,7 @@
 async def run_front(
     settings: GatewaySettings, metrics: GatewayMetrics
 ) -> AsyncIterator[FrontRuntime]:
-    """Run a front's links and timers."""
+    """Run the links and timers of a front."""
     runtime = FrontRuntime(settings, metrics)
     task = asyncio.create_task(runtime.run())
     try:
--- a/src/scalebend/edges/gateway/front_server.py
+++ b/src/scalebend/edges/gateway/front_server.py
@@ -1,4 +1,4 @@
-"""A front from its start to its end: links first, then HTTP, then an orderly stop."""
+"""Runs a front from start to stop: links first, then HTTP, then draining."""
 
 from __future__ import annotations
 
@@ -20,16 +20,15 @@
 
 logger = structlog.get_logger(__name__)
 
-STOP_TAKING = 4.5
-"""Seconds after the stop signal for which connections are still taken, so that who
-comes late is told to go elsewhere."""
+ACCEPT_AFTER_STOP_S = 4.5
+"""Time after the stop signal for which connections are still accepted, so that late
+callers are redirected by a response instead of a refused connection."""
 
-STOP_MARGIN = 1.0
-"""Seconds before the kill at which open requests are left, so that closing them ends
-before it."""
+STOP_MARGIN_S = 1.0
+"""Time before the kill at which draining ends, so that open requests can be closed."""
 
-POLL = 0.05
-"""Seconds between two looks at what is still open while stopping."""
+POLL_INTERVAL_S = 0.05
+"""Interval of the checks for open requests while draining."""
 
 
 async def serve_front(
@@ -38,12 +37,12 @@
     stopped: asyncio.Event,
     watch: SettingsWatch,
 ) -> None:
-    """Run a front until ``stopped`` is set, then finish what is open."""
+    """Run a front until ``stopped`` is set, then drain it."""
     metrics = GatewayMetrics()
     async with contextlib.AsyncExitStack() as stack:
         runtime = await stack.enter_async_context(run_front(settings, metrics))
         await stack.enter_async_context(watch.tell(runtime.instance.set_seeds))
-        # Links come up and the routing document arrives meanwhile.
+        # Meanwhile, links come up and the routing document arrives.
         calls = await load_http(
             "scalebend.edges.gateway.front_calls",
             lambda: runtime.instance.may_admit(runtime.now()),
@@ -61,9 +60,9 @@
     runtime.drain_began = started
     runtime.instance.is_draining = True
     logger.info("drain begins", open=runtime.open_requests)
-    end = started + runtime.settings.bounds.drain_grace - STOP_MARGIN
-    await asyncio.sleep(min(STOP_TAKING, end - started))
+    end = started + runtime.settings.bounds.drain_grace - STOP_MARGIN_S
+    await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, end - started))
     await site.stop()
     while runtime.open_requests and runtime.now() < end:
-        await asyncio.sleep(POLL)
+        await asyncio.sleep(POLL_INTERVAL_S)
     logger.info("drain ends", open=runtime.open_requests)
--- a/src/scalebend/edges/gateway/inspection.py
+++ b/src/scalebend/edges/gateway/inspection.py
@@ -1,7 +1,7 @@
-"""Asks replicas for a report when a first token is late, to find the slow one.
+"""Fetches load reports of replicas when a first token is late, to find the slow one.
 
-Several replicas read a long prompt; when it is late, nothing in the answer says which
-of them was slow. Reports are asked for only then, since each is priced like a probe.
+A prefill group runs a long prompt; when its first token is late, the response does not
+say which replica was slow. Reports are fetched only then: each costs like a probe.
 """
 
 from __future__ import annotations
@@ -23,15 +23,14 @@
 
 logger = structlog.get_logger(__name__)
 
-REPORT_TIMEOUT = 0.4
-"""Seconds to wait for a report, which takes no slot at a replica."""
+REPORT_TIMEOUT_S = 0.4
+"""Timeout of a report, which needs no slot at the replica."""
 
-REPEAT_AFTER = 0.9
-"""Seconds before the same replica is asked again by this front."""
+REPEAT_INTERVAL_S = 0.9
+"""Least time between two reports of the same replica to this front."""
 
-
-REPORT_LIFE = 2.0
-"""Seconds for which a report says something about a request that still waits."""
+REPORT_LIFE_S = 2.0
+"""Time after which a report is stale."""
 
 
 class _NoReport(Enum):
@@ -39,14 +38,14 @@
 
     UNANSWERED = "unanswered"
     UNREADABLE = "unreadable"
-    """Something else answered there, which says nothing of the replica."""
+    """The response is not a report, which says nothing about the replica."""
 
 
 _Report = ReplicaReport | _NoReport
 
 
 class Inspection(msgspec.Struct, frozen=True):
-    """What some replicas told; ``silent`` did not answer at all."""
+    """Reports of some replicas; ``silent`` are those that did not respond."""
 
     paces: list[ReplicaPace]
     silent: list[UpstreamId]
@@ -58,7 +57,7 @@
     for upstream, report in reports.items():
         match report:
             case ReplicaReport(pace=pace, born=born):
-                if _is_of(upstream, born):
+                if _may_match_incarnation(upstream, born):
                     paces.append(ReplicaPace(upstream, pace))
                 else:
                     silent.append(upstream)
@@ -67,49 +66,50 @@
     return Inspection(paces, silent)
 
 
-def _is_of(upstream: UpstreamId, born: int | None) -> bool:
-    """Whether a report may be this incarnation's; either may tell no start."""
+def _may_match_incarnation(upstream: UpstreamId, born: int | None) -> bool:
+    """Whether a report may be of this incarnation; either start may be unknown."""
     known = get_upstream_born(upstream)
     return known is None or born is None or known == born
 
 
 class Inspector:
-    """Asks for reports, each replica at most once in a while."""
+    """Fetches reports, limited to one per replica and interval."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
-        self._asked: dict[UpstreamId, float] = {}
+        self._asked_at: dict[UpstreamId, float] = {}
         self._reports: dict[UpstreamId, _Report] = {}
 
     def is_queueing(self, upstream: UpstreamId, now: float) -> bool:
-        """Whether the replica's last report explains why a request still waits."""
-        asked_at = self._asked.get(upstream, -REPORT_LIFE)
+        """Whether a recent report explains a wait by queued requests, not slowness."""
+        asked_at = self._asked_at.get(upstream, -REPORT_LIFE_S)
         report = self._reports.get(upstream)
-        if not isinstance(report, ReplicaReport) or now - asked_at > REPORT_LIFE:
+        if not isinstance(report, ReplicaReport) or now - asked_at > REPORT_LIFE_S:
             return False
         return report.waiting > 0 and report.pace < SLOW_PACE
 
     def list_silent(
         self, upstreams: Iterable[UpstreamId], now: float
     ) -> list[UpstreamId]:
-        """Those that did not answer when they were asked last, a moment ago."""
+        """Return the replicas that did not respond to the last fetch, if recent."""
         return [
             upstream
             for upstream in upstreams
             if self._reports.get(upstream) is _NoReport.UNANSWERED
-            and now - self._asked[upstream] < REPEAT_AFTER
+            and now - self._asked_at[upstream] < REPEAT_INTERVAL_S
         ]
 
     async def inspect(self, addresses: dict[UpstreamId, str], now: float) -> Inspection:
-        """Ask these replicas, but those asked a moment ago."""
+        """Fetch reports of these replicas, except for those fetched just now."""
         due = {
             upstream: address
             for upstream, address in addresses.items()
-            if now - self._asked.get(upstream, -REPEAT_AFTER) >= REPEAT_AFTER
+            if now - self._asked_at.get(upstream, -REPEAT_INTERVAL_S)
+            >= REPEAT_INTERVAL_S
         }
         for upstream in due:
-            self._asked[upstream] = now
-        reports = await asyncio.gather(*(self._ask(a) for a in due.values()))
+            self._asked_at[upstream] = now
+        reports = await asyncio.gather(*(self._fetch_report(a) for a in due.values()))
         self._reports.update(zip(due, reports, strict=True))
         inspection = _summarise(dict(zip(due, reports, strict=True)))
         if inspection.silent or any(pace.pace > 1.0 for pace in inspection.paces):
@@ -121,14 +121,14 @@
             )
         return inspection
 
-    async def _ask(self, address: str) -> _Report:
-        timeout = build_timeout(REPORT_TIMEOUT, REPORT_TIMEOUT)
+    async def _fetch_report(self, address: str) -> _Report:
+        timeout = build_timeout(REPORT_TIMEOUT_S, REPORT_TIMEOUT_S)
         url = f"http://{address}{REPORT_PATH}"
         try:
-            async with self._session.get(url, timeout=timeout) as answer:
-                report = decode_report(await answer.read())
+            async with self._session.get(url, timeout=timeout) as response:
+                report = decode_report(await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            logger.info("report unanswered", address=address, error=str(error))
+            logger.info("report request failed", address=address, error=str(error))
             return _NoReport.UNANSWERED
         if report is None:
             logger.info("report not readable", address=address)
--- a/src/scalebend/edges/gateway/redirects.py
+++ b/src/scalebend/edges/gateway/redirects.py
@@ -1,4 +1,4 @@
-"""Sends a call to the control process that can answer it."""
+"""Redirects a call to the control process that can handle it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def redirect_to(
     target: InstanceId, settings: GatewaySettings, request: web.BaseRequest
 ) -> web.Response:
-    """Tell the caller to send the same call to ``target``.
+    """Return a redirect of the call to ``target``.
 
     The port for calls is the same at every control process.
     """
--- a/src/scalebend/edges/gateway/reservations.py
+++ b/src/scalebend/edges/gateway/reservations.py
@@ -1,4 +1,4 @@
-"""Memory set aside on helping replicas while one long prompt is read and answered."""
+"""Reserves KV cache memory on prefill helpers while a long prompt is processed."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 logger = structlog.get_logger(__name__)
 
 ORDER_TIMEOUT = 0.5
-"""Seconds for one order to a replica: it takes no slot there."""
+"""Timeout of one order to a replica, which needs no slot there."""
 
 HOLD = 3.4
-"""Seconds for which memory is set aside unless it is renewed. Whoever reserved may
-die, and an order may be carried out long after its memory was given back; either way
-the replica frees the memory within the four seconds that the platform allows."""
+"""Lifetime of a reservation that is not renewed. A front may crash, or an order may
+arrive after its release; either way the replica frees the memory within the 4 s that
+the platform allows."""
 
 RENEW_PERIOD = 1.1
-"""Seconds between two renewals, so that two may be lost."""
+"""Interval of renewals: two in a row may be lost."""
 
-RELEASE_TRIES = 4
-"""Times that memory is given back before it is left to lapse."""
+MAX_RELEASE_ATTEMPTS = 4
+"""After these, the reservation is left to expire."""
 
-JSON = {"Content-Type": "application/json"}
+JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class HolderSilentError(Exception):
-    """A replica that is to hold memory did not answer; nothing was sent to any."""
+    """A helper did not respond to a reservation; the request was not sent."""
 
     def __init__(self, upstream: UpstreamId) -> None:
         super().__init__(upstream)
@@ -51,27 +51,27 @@
 async def hold_memory(
     runtime: FrontRuntime, work: EngineWork, placement: Placement
 ) -> AsyncIterator[list[str]]:
-    """Reserve what the placement asks for; yield the helpers as a request names them.
+    """Reserve the memory of a placement; yield the helpers in the form of the header.
 
-    A helper that refuses is named without a reservation: the request then fails
-    there without having run, and is placed anew. Where one does not answer at all,
-    raise :class:`HolderSilentError`: a request that is not sent is no retry.
+    A helper that rejects the reservation is named nevertheless: the request then fails
+    there without having run, and is placed anew. If one does not respond at all, raise
+    :class:`HolderSilentError`: a request that is not sent uses no retry budget.
     """
     holders = [helper for helper in placement.helpers if helper.tokens]
-    renewing: asyncio.Task[None] | None = None
+    renewal: asyncio.Task[None] | None = None
     try:
         if holders:
             statuses = await _reserve_all(runtime, work, holders)
             if None in statuses:
                 raise HolderSilentError(holders[statuses.index(None)].upstream)
-            renewing = asyncio.create_task(_renew(runtime, work, holders))
+            renewal = asyncio.create_task(_renew(runtime, work, holders))
         yield [
             format_helper(helper.address, work.job if helper.tokens else None)
             for helper in placement.helpers
         ]
     finally:
-        if renewing is not None:
-            renewing.cancel()
+        if renewal is not None:
+            renewal.cancel()
         if holders:
             runtime.spawn(_release_all(runtime, work, holders))
 
@@ -87,7 +87,7 @@
 async def _reserve_all(
     runtime: FrontRuntime, work: EngineWork, holders: list[Helper]
 ) -> list[int | None]:
-    """Status of each holder's answer, ``None`` where none came."""
+    """Return the status of each response, ``None`` where there was none."""
     reserving = (_reserve(runtime, work, holder) for holder in holders)
     return await asyncio.gather(*reserving)
 
@@ -95,9 +95,9 @@
 async def _reserve(
     runtime: FrontRuntime, work: EngineWork, helper: Helper
 ) -> int | None:
-    hold = min(HOLD, runtime.settings.bounds.hold_most)
-    body = encode_reservation(work.job, helper.tokens, hold)
-    status = await _order(runtime, helper, body)
+    life_s = min(HOLD, runtime.settings.bounds.hold_most)
+    body = encode_reservation(work.job, helper.tokens, life_s)
+    status = await _send_order(runtime, helper, body)
     logger.info(
         "memory reserved",
         job=work.job,
@@ -116,23 +116,23 @@
 
 async def _release(runtime: FrontRuntime, work: EngineWork, helper: Helper) -> None:
     body = encode_release(work.job)
-    for _ in range(RELEASE_TRIES):
-        status = await _order(runtime, helper, body)
+    for _ in range(MAX_RELEASE_ATTEMPTS):
+        status = await _send_order(runtime, helper, body)
         if status is not None:
             return
     logger.warning("memory not given back", job=work.job, upstream=helper.upstream)
 
 
-async def _order(runtime: FrontRuntime, helper: Helper, body: bytes) -> int | None:
-    """Return the status of the answer, ``None`` when none came."""
+async def _send_order(runtime: FrontRuntime, helper: Helper, body: bytes) -> int | None:
+    """Return the status of the response, ``None`` if there was none."""
     url = f"http://{helper.address}{ORDER_PATH}"
     timeout = build_timeout(ORDER_TIMEOUT, ORDER_TIMEOUT)
     session = runtime.sessions.pooled
     try:
         async with session.post(
-            url, data=body, headers=JSON, timeout=timeout
-        ) as answer:
-            return answer.status
+            url, data=body, headers=JSON_HEADERS, timeout=timeout
+        ) as response:
+            return response.status
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         logger.info("order unanswered", upstream=helper.upstream, error=str(error))
         return None
--- a/src/scalebend/edges/gateway/running_attempts.py
+++ b/src/scalebend/edges/gateway/running_attempts.py
@@ -1,8 +1,8 @@
-"""Attempts that wait for bytes of upstreams, to be ended when one started again.
+"""Attempts that wait for upstreams, to be ended when one of these has restarted.
 
-What an earlier incarnation ran is lost. Its connections may stay silent instead of
-breaking, if it was cut off before: a request would wait out its patience, of more than
-a second, or the whole of its deadline where it must not be sent twice.
+Work of an earlier incarnation is lost, but its connections may stay open without data
+if the network failed before: a request would wait for its first-byte timeout, or until
+its deadline if it is non-idempotent.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 
 class RunningAttempt:
-    """One attempt, until its deadline or until it is known that nothing more comes."""
+    """One attempt, until its deadline or the restart of an upstream it needs."""
 
     def __init__(self, deadline: float, upstreams: Iterable[UpstreamId]) -> None:
-        """``upstreams`` are all that the answer depends on."""
+        """``upstreams`` are those that the response depends on."""
         self.limit = asyncio.timeout_at(deadline)
         self.upstreams = set(upstreams)
         self.ended_with: UpstreamId | None = None
-        """The upstream that started again meanwhile."""
+        """The upstream whose restart ended the attempt."""
 
     def keep_only(self, upstreams: Iterable[UpstreamId]) -> None:
-        """What is still to come depends on these alone; nothing, if all is here."""
+        """Keep only the upstreams that the rest of the response depends on."""
         self.upstreams.intersection_update(upstreams)
 
     def end(self, upstream: UpstreamId) -> None:
-        """``upstream`` started again; the attempt ends unless it needs it no more."""
+        """End the attempt, unless it no longer needs the restarted ``upstream``."""
         if upstream not in self.upstreams or self.ended_with is not None:
             return
         self.ended_with = upstream
@@ -42,7 +42,7 @@
 
 
 class RunningAttempts:
-    """All attempts of one front, by the upstreams that they depend on."""
+    """All running attempts of a front, by the upstreams that they depend on."""
 
     def __init__(self) -> None:
         self._attempts: dict[UpstreamId, list[RunningAttempt]] = {}
@@ -51,19 +51,19 @@
     def watch(
         self, deadline: float, upstreams: Iterable[UpstreamId]
     ) -> Iterator[RunningAttempt]:
-        """Keep an attempt that depends on ``upstreams`` until the block ends."""
-        named = tuple(upstreams)
-        attempt = RunningAttempt(deadline, named)
-        for upstream in named:
+        """Track an attempt that depends on ``upstreams`` until the block ends."""
+        members = tuple(upstreams)
+        attempt = RunningAttempt(deadline, members)
+        for upstream in members:
             self._attempts.setdefault(upstream, []).append(attempt)
         try:
             yield attempt
         finally:
-            for upstream in named:
-                self._drop(upstream, attempt)
+            for upstream in members:
+                self._remove(upstream, attempt)
 
     def end(self, upstreams: Iterable[UpstreamId]) -> None:
-        """End the attempts that depend on incarnations that are over."""
+        """End the attempts that depend on these ended incarnations."""
         for upstream in upstreams:
             attempts = self._attempts.get(upstream, ())
             if attempts:
@@ -71,7 +71,7 @@
             for attempt in tuple(attempts):
                 attempt.end(upstream)
 
-    def _drop(self, upstream: UpstreamId, attempt: RunningAttempt) -> None:
+    def _remove(self, upstream: UpstreamId, attempt: RunningAttempt) -> None:
         attempts = self._attempts[upstream]
         attempts.remove(attempt)
         if not attempts:
--- a/src/scalebend/edges/gateway/service_choice.py
+++ b/src/scalebend/edges/gateway/service_choice.py
@@ -1,4 +1,4 @@
-"""Chooses an upstream of a plain service, within the limits that upstreams named."""
+"""Chooses an upstream of a service without engines, within its rate limits."""
 
 from __future__ import annotations
 
@@ -15,36 +15,35 @@
 
 logger = structlog.get_logger(__name__)
 
-MOST_ASKED = 16
-"""Limited upstreams that the leader is asked for at once: a question of half a kilobyte
-where a whole large service is in need. If one in eight has room, seven of eight
-questions drawn by chance find one."""
+MAX_REQUESTED_UPSTREAMS = 16
+"""Rate-limited upstreams in one request for a send permit, to bound its size. If one in
+eight has a permit left, seven of eight random samples include one."""
 
 
 class Room(msgspec.Struct, frozen=True):
-    """An upstream that may be sent the request now, or when there will be one."""
+    """The upstream that may be sent the request now, or when there will be one."""
 
     endpoint: Endpoint | None
     retry_after: float | None = None
-    """Seconds until a limited upstream has room, if that is what is missing."""
+    """Seconds until a send permit is free, if only rate limits prevent the send."""
 
 
 async def choose_with_room(
     runtime: FrontRuntime, call: Call, excluded: set[UpstreamId]
 ) -> Room:
-    """The least loaded upstream that takes the request; waits a little if none does.
+    """Return the least loaded usable upstream; wait a little if none is available.
 
-    A limited one is asked for at the leader, which costs a round trip; others are not.
+    Only rate-limited ones need a send permit of the leader, a round trip.
     """
     instance = runtime.instance
     full: set[UpstreamId] = set()
     retry_after: float | None = None
     while True:
         usable = instance.directory.list_usable(call.service)
-        closed = instance.backoffs.list_in_backoff(runtime.now())
+        in_backoff = instance.backoffs.list_in_backoff(runtime.now())
         endpoint = instance.balancer.choose(
             usable,
-            excluded.union(full, closed),
+            excluded.union(full, in_backoff),
             runtime.settings.availability_zone,
             runtime.chooser,
             runtime.now(),
@@ -56,27 +55,29 @@
             return Room(None, retry_after)
         if not instance.limits.is_limited(endpoint.upstream):
             return Room(endpoint)
-        left_out = excluded.union(closed)
-        names = {one.upstream: one for one in usable if one.upstream not in left_out}
-        limited = [one for one in names if instance.limits.is_limited(one)]
-        has_others = len(limited) < len(names)
-        patience = 0.0 if has_others else compute_room_timeout(call, runtime.now())
-        asked = _draw(runtime, limited, endpoint.upstream)
-        granted = await runtime.request_send(asked, patience)
-        if granted.upstream is not None:
-            await asyncio.sleep(granted.wait)
-            if instance.may_send(granted.upstream, runtime.now()):
-                return Room(names[granted.upstream])
+        unavailable = excluded.union(in_backoff)
+        candidates = {
+            one.upstream: one for one in usable if one.upstream not in unavailable
+        }
+        limited = [one for one in candidates if instance.limits.is_limited(one)]
+        has_others = len(limited) < len(candidates)
+        timeout_s = 0.0 if has_others else compute_room_timeout(call, runtime.now())
+        requested = _sample_limited(runtime, limited, endpoint.upstream)
+        permit = await runtime.request_send(requested, timeout_s)
+        if permit.upstream is not None:
+            await asyncio.sleep(permit.wait)
+            if instance.may_send(permit.upstream, runtime.now()):
+                return Room(candidates[permit.upstream])
         full.update(limited)
-        retry_after = granted.wait
+        retry_after = permit.wait
 
 
-def _draw(
+def _sample_limited(
     runtime: FrontRuntime, limited: list[UpstreamId], first: UpstreamId
 ) -> list[UpstreamId]:
-    """Some of the limited upstreams, by chance, behind the one that was chosen."""
+    """Return ``first`` and a random sample of the other limited upstreams."""
     others = [one for one in limited if one != first]
-    count = min(len(others), MOST_ASKED - 1)
+    count = min(len(others), MAX_REQUESTED_UPSTREAMS - 1)
     return [first, *runtime.chooser.sample(others, count)]
 
 
--- a/src/scalebend/edges/gateway/silence.py
+++ b/src/scalebend/edges/gateway/silence.py
@@ -1,7 +1,8 @@
-"""Waits for bytes of an upstream, and tells its silence from a pause of this process.
+"""Reads responses with timeouts that tolerate a stall of this process.
 
-A process that stood still for a while finds its timers due and the bytes unread in its
-sockets. Timers run first; so one that is found due much too late says nothing yet.
+After a stall (a suspended process, a blocked event loop), expired timers run before the
+data that waits in the sockets is read. So a timer that runs much too late does not show
+that the upstream is unresponsive, and the read gets a short second timeout.
 """
 
 from __future__ import annotations
@@ -13,65 +14,62 @@
 
 import aiohttp
 
-LARGEST_ANSWER = 16 * 1024 * 1024
-"""Bytes of an answer that is held whole before it is passed on."""
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+"""Largest body of a response that is buffered before it is forwarded."""
 
 PAUSE = 0.2
-"""Seconds by which a timer is late when this process stood still: far more than a busy
-event loop takes for one turn."""
+"""Delay of a timer that shows a stall: far more than one busy iteration of the event
+loop."""
 
-AFTER_PAUSE = 0.3
-"""Seconds for which an upstream is listened to again after that: what came meanwhile is
-read within a turn of the loop or two."""
+EXTRA_READ_TIMEOUT_S = 0.3
+"""Second timeout after a stall: pending data is read within an iteration or two."""
 
 
 class SilentError(Exception):
-    """Nothing came from the upstream in the time that a sound one takes."""
+    """The upstream sent no bytes within the timeout."""
 
 
 @contextlib.contextmanager
 def own_answer(
     sending: Awaitable[aiohttp.ClientResponse],
 ) -> Iterator[asyncio.Future[aiohttp.ClientResponse]]:
-    """Send a request; if the block fails, end it whether its answer is there or not.
+    """Send a request; if the block fails, cancel it and close its response.
 
-    A caller may leave in the moment in which the answer's head comes: an answer that
-    nobody took would keep its connection, and the upstream would go on with the work.
+    A caller may disconnect just as the response head arrives: a response without an
+    owner would keep its connection, and the upstream would continue the work.
     """
     task = asyncio.ensure_future(sending)
     try:
         yield task
     except BaseException:
-        task.add_done_callback(_close_answer)
+        task.add_done_callback(_close_response)
         task.cancel()
         raise
 
 
-def _close_answer(task: asyncio.Future[aiohttp.ClientResponse]) -> None:
+def _close_response(task: asyncio.Future[aiohttp.ClientResponse]) -> None:
     if not task.cancelled() and task.exception() is None:
         task.result().close()
 
 
-async def wait_for_task(task: asyncio.Future[Any], patience: float | None) -> bool:
-    """Wait for a task to end; return whether it did within ``patience`` seconds."""
+async def wait_for_task(task: asyncio.Future[Any], timeout: float | None) -> bool:
+    """Wait for a task to end; return whether it did within ``timeout`` seconds."""
     loop = asyncio.get_running_loop()
     while True:
         began = loop.time()
-        done, _ = await asyncio.wait({task}, timeout=patience)
+        done, _ = await asyncio.wait({task}, timeout=timeout)
         if done:
             return True
-        if patience is None or loop.time() - began - patience < PAUSE:
+        if timeout is None or loop.time() - began - timeout < PAUSE:
             return False
-        patience = AFTER_PAUSE
+        timeout = EXTRA_READ_TIMEOUT_S
 
 
-async def read_available(
-    content: aiohttp.StreamReader, patience: float | None
-) -> bytes:
-    """The bytes that are there, or the next; raise when none come in ``patience``."""
+async def read_available(content: aiohttp.StreamReader, timeout: float | None) -> bytes:
+    """Return the next bytes; raise if none come within ``timeout`` seconds."""
     loop = asyncio.get_running_loop()
     while True:
-        timer = asyncio.timeout(patience)
+        timer = asyncio.timeout(timeout)
         try:
             async with timer:
                 return await content.readany()
@@ -81,16 +79,20 @@
                 raise
             if loop.time() - due < PAUSE:
                 raise SilentError from None
-            patience = AFTER_PAUSE
+            timeout = EXTRA_READ_TIMEOUT_S
 
 
-async def read_whole(answer: aiohttp.ClientResponse, patience: float | None) -> bytes:
-    """The whole body; raise when nothing comes for ``patience`` seconds."""
+async def read_whole(response: aiohttp.ClientResponse, timeout: float | None) -> bytes:
+    """Return the whole body.
+
+    Raises :class:`SilentError` when no bytes come for ``timeout`` seconds, and
+    :class:`aiohttp.ClientPayloadError` for a body over ``MAX_RESPONSE_BYTES``.
+    """
     parts: list[bytes] = []
     size = 0
-    while data := await read_available(answer.content, patience):
+    while data := await read_available(response.content, timeout):
         parts.append(data)
         size += len(data)
-        if size > LARGEST_ANSWER:
-            raise aiohttp.ClientPayloadError("the answer is too large")
+        if size > MAX_RESPONSE_BYTES:
+            raise aiohttp.ClientPayloadError("the response is too large")
     return b"".join(parts)
--- a/src/scalebend/edges/gateway/upstream_choice.py
+++ b/src/scalebend/edges/gateway/upstream_choice.py
@@ -1,4 +1,4 @@
-"""Chooses where an attempt of one call goes, and counts the request there meanwhile."""
+"""Chooses the upstream of each attempt, and counts the request there meanwhile."""
 
 from __future__ import annotations
 
@@ -23,17 +23,15 @@
 logger = structlog.get_logger(__name__)
 
 RETRY_LATER = 0.25
-"""Seconds after which a refused caller may come back: engines end several short
-requests in that time."""
-
+"""``Retry-After`` of refused requests: engines finish several short requests in it."""
 
 RETURN_SPREAD = 0.25
-"""Seconds over which callers come back that were refused for one pause: together they
-would fill the upstream that is open first."""
+"""Jitter of ``Retry-After`` for callers refused during one backoff, who would overload
+the first available upstream if they retried together."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Where one attempt goes."""
+    """Upstreams of one attempt."""
 
     upstream: UpstreamId
     address: str
@@ -42,23 +40,23 @@
     job: JobId | None = None
     placement: Placement | None = None
     lost: UpstreamId | None = None
-    """One that takes part and cannot, so that nothing is to be sent there."""
+    """An unavailable upstream of the placement: the request must not be sent."""
 
     @property
     def upstreams(self) -> list[UpstreamId]:
-        """All that take part until the first event."""
+        """All that are needed until the first event."""
         if self.placement is None:
             return [self.upstream]
         return self.placement.upstreams
 
     @property
     def holders(self) -> list[UpstreamId]:
-        """Those that take part until the end: the others only read."""
+        """Those that are needed until the end; the other helpers only prefill."""
         helpers = self.placement.helpers if self.placement is not None else ()
         return [self.upstream, *(one.upstream for one in helpers if one.tokens)]
 
     def find_helper(self, address: str | None) -> UpstreamId | None:
-        """The helper at ``address``, if there is one."""
+        """Return the helper at ``address``, if there is one."""
         helpers = self.placement.helpers if self.placement is not None else ()
         for helper in helpers:
             if helper.address == address:
@@ -66,14 +64,14 @@
         return None
 
 
-def _build_unsent(placement: Placement, lost: UpstreamId) -> Target:
+def _build_unavailable_target(placement: Placement, lost: UpstreamId) -> Target:
     return Target(
         placement.upstream, placement.address, [], placement=placement, lost=lost
     )
 
 
 class UpstreamChoice:
-    """Choices for one call, one after the other."""
+    """Chooses the upstreams of the attempts of one call."""
 
     def __init__(
         self,
@@ -82,41 +80,41 @@
         fingerprint: Fingerprint,
         excluded: set[UpstreamId],
     ) -> None:
-        """``excluded`` grows while attempts fail."""
+        """``excluded`` is shared: it grows as attempts fail."""
         self._fingerprint = fingerprint
         self._runtime = runtime
         self._call = call
         self._excluded = excluded
-        self._lateness: asyncio.TimerHandle | None = None
+        self._inspection_timer: asyncio.TimerHandle | None = None
         self.load: LoadReading | None = None
-        """The chosen upstream's own count of its load, once it answered."""
+        """The load that the chosen upstream reported in its response."""
 
         self.has_failed = True
-        """Whether the attempt gave no answer to pass on, as far as known."""
+        """Whether the attempt failed; true until a response succeeded."""
 
         self.retry_after = RETRY_LATER
-        """Seconds after which the caller may come back, if nothing is chosen."""
+        """Seconds after which the caller may retry, if nothing is chosen."""
 
     async def exclude_silent(self, target: Target) -> None:
-        """One of a group was lost: leave out all of it that do not answer now.
+        """Exclude all replicas of a prefill group that do not respond now.
 
-        A crash often takes several. Found one by one, by attempts that fail, they would
-        cost a long prompt all its attempts.
+        Several often crash together. If they were found one by one, by failed attempts,
+        a long prompt would use up its attempts.
         """
         if target.placement is not None and target.placement.helpers:
-            silent = await self._runtime.inspect(target.placement)
-            self._excluded.update(silent)
+            unresponsive = await self._runtime.inspect(target.placement)
+            self._excluded.update(unresponsive)
 
     def note_first_token(self, target: Target) -> None:
-        """The first event of a stream came."""
+        """Record the first event of a stream."""
         if target.job is not None:
-            self._stop_lateness()
+            self._cancel_inspection()
             self._runtime.note_first_token(target.job, self.load)
 
     @contextlib.asynccontextmanager
     async def choose(self) -> AsyncIterator[Target | None]:
         """Choose an upstream and count the request there until the block ends."""
-        if not await self._wait_until_open():
+        if not await self._wait_for_backoff():
             yield None
             return
         profile = self._runtime.instance.table.find_engine(self._call.service)
@@ -127,8 +125,8 @@
         async with self._choose_service() as target:
             yield target
 
-    async def _wait_until_open(self) -> bool:
-        """Whether an upstream takes requests now, or soon enough to wait for it."""
+    async def _wait_for_backoff(self) -> bool:
+        """Wait for an upstream out of backoff; return whether that is soon enough."""
         runtime, call = self._runtime, self._call
         while True:
             now = runtime.now()
@@ -152,11 +150,11 @@
     async def _choose_service(self) -> AsyncIterator[Target | None]:
         runtime = self._runtime
         instance = runtime.instance
-        room = await choose_with_room(runtime, self._call, self._excluded)
-        endpoint = room.endpoint
+        choice = await choose_with_room(runtime, self._call, self._excluded)
+        endpoint = choice.endpoint
         if endpoint is None:
-            if room.retry_after is not None:
-                self.retry_after = room.retry_after
+            if choice.retry_after is not None:
+                self.retry_after = choice.retry_after
             yield None
             return
         instance.balancer.record_sent(endpoint.upstream)
@@ -185,28 +183,28 @@
             return
         self._log_placement(work, placement, decision.leader)
         try:
-            turn = await runtime.wait_for_turn(work, placement)
-            if isinstance(turn, Declined):
-                self._log_declined(work, turn, decision.leader)
-                self.retry_after = turn.retry_after
+            renewed = await runtime.wait_for_turn(work, placement)
+            if isinstance(renewed, Declined):
+                self._log_declined(work, renewed, decision.leader)
+                self.retry_after = renewed.retry_after
                 yield None
                 return
-            if turn.upstreams != placement.upstreams:
-                self._log_placement(work, turn, decision.leader)
-            placement = turn
+            if renewed.upstreams != placement.upstreams:
+                self._log_placement(work, renewed, decision.leader)
+            placement = renewed
             kept = runtime.keep_staying(work, placement)
             if kept is None:
-                yield _build_unsent(placement, placement.upstream)
+                yield _build_unavailable_target(placement, placement.upstream)
                 return
             placement = kept
             async with contextlib.AsyncExitStack() as stack:
-                holding = hold_memory(runtime, work, placement)
+                reservation = hold_memory(runtime, work, placement)
                 try:
-                    helpers = await stack.enter_async_context(holding)
+                    helpers = await stack.enter_async_context(reservation)
                 except HolderSilentError as error:
-                    yield _build_unsent(placement, error.upstream)
+                    yield _build_unavailable_target(placement, error.upstream)
                     return
-                self._lateness = asyncio.get_running_loop().call_later(
+                self._inspection_timer = asyncio.get_running_loop().call_later(
                     compute_inspection_delay(
                         placement.first_token_in - placement.start_in
                     ),
@@ -221,13 +219,13 @@
                     placement,
                 )
         finally:
-            self._stop_lateness()
+            self._cancel_inspection()
             runtime.note_job_ended(work.job)
 
-    def _stop_lateness(self) -> None:
-        if self._lateness is not None:
-            self._lateness.cancel()
-            self._lateness = None
+    def _cancel_inspection(self) -> None:
+        if self._inspection_timer is not None:
+            self._inspection_timer.cancel()
+            self._inspection_timer = None
 
     def _build_work(self) -> EngineWork:
         call = self._call
--- a/src/scalebend/edges/gateway/upstream_client.py
+++ b/src/scalebend/edges/gateway/upstream_client.py
@@ -1,9 +1,9 @@
-"""HTTP sessions to upstreams, strict about bytes that belong to no request.
+"""HTTP sessions to upstreams that reject unsolicited and truncated responses.
 
-aiohttp pools connections. An upstream in trouble may send a second answer after a
-whole one; in a pooled connection it would be taken for the next request's. Also, an
-answer without a length ends with its connection, and a reset must not count as that
-end. Both are decided here, in the protocol that the connector makes.
+aiohttp pools connections. A faulty upstream may send a second response after a complete
+one; in a pooled connection it would be taken for the response to the next request.
+Also, a response without a length ends with its connection, and a reset must not count
+as its end. Both are handled here, in the protocol class of the connector.
 """
 
 from __future__ import annotations
@@ -18,39 +18,39 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-CONNECT_TIMEOUT = 0.1
-"""Seconds until a connection must stand: many round trips between the availability
-zones of a region, and a third of the target for a quick question, so that another
-replica can still answer in time. A lost packet is sent again only after a second."""
+CONNECT_TIMEOUT_S = 0.1
+"""Many round trips between the availability zones of a region, but short enough for
+another replica to respond within a short latency target. The kernel resends a lost SYN
+only after a second."""
 
-CONNECT_PART = 0.9
-"""Part of the time left that a connection may take: it ends before the deadline does,
-so that a request that was not sent is never taken for one that may have run."""
+CONNECT_SHARE = 0.9
+"""Share of the remaining time that a connection may take: its timeout comes before the
+deadline, so that an unsent request is never taken for one that may have run."""
 
-IDLE_TIME = 4.0
-"""Seconds for which an idle connection is kept; upstreams forget theirs later."""
+IDLE_TIMEOUT_S = 4.0
+"""Shorter than the idle timeout of the upstreams."""
 
 UNACKED_TIMEOUT_MS = 3000
-"""Milliseconds after which the kernel gives up on bytes that were not acknowledged."""
+"""Time after which the kernel closes a connection with unacknowledged data."""
 
 
 class StrictResponseHandler(ResponseHandler):
-    """aiohttp's client protocol, with the two checks of this module."""
+    """The client protocol of aiohttp with the two checks of this module."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._answered_before: object = None
+        self._previous_payload: object = None
 
     def set_response_params(self, **params: object) -> None:
-        """A new request begins (called by aiohttp)."""
-        self._answered_before = self._payload
+        """Begin a new request (called by aiohttp)."""
+        self._previous_payload = self._payload
         super().set_response_params(**params)  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
-        """Refuse bytes after a whole answer (called by asyncio)."""
+        """Abort on data after a complete response (called by asyncio)."""
         payload = self._payload
-        is_new = payload is not self._answered_before
-        if data and is_new and payload is not None and payload.is_eof():
+        is_current_payload = payload is not self._previous_payload
+        if data and is_current_payload and payload is not None and payload.is_eof():
             self.force_close()
             if self.transport is not None:
                 self.transport.abort()
@@ -58,7 +58,7 @@
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """A reset leaves an answer without a length incomplete (called by asyncio)."""
+        """Fail a response without a length after a reset (called by asyncio)."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"reset: {exc}"))
@@ -67,7 +67,7 @@
 
 class _StrictConnector(aiohttp.TCPConnector):
     def __init__(self, *, force_close: bool) -> None:
-        keepalive = None if force_close else IDLE_TIME
+        keepalive = None if force_close else IDLE_TIMEOUT_S
         options = {} if force_close else {"keepalive_timeout": keepalive}
         super().__init__(
             limit=0,
@@ -90,11 +90,11 @@
 
 
 class UpstreamSessions:
-    """Sessions with pooled connections, and with one for each request.
+    """A session with pooled connections, and one with a connection per request.
 
-    A request that must not run twice gets a connection of its own: on a pooled one
-    that the upstream closes meanwhile, nobody could say whether it had run. So does one
-    whose last attempt broke or fell silent: connections may fall silent many at once.
+    Non-idempotent requests get a new connection: if the upstream closed a pooled one
+    meanwhile, nobody could tell whether the request had run. So do retries after a
+    broken or unresponsive connection: many pooled ones may be dead at once.
     """
 
     def __init__(
@@ -104,19 +104,19 @@
         self._single = single
 
     def choose(self, *, may_pool: bool) -> aiohttp.ClientSession:
-        """The session for a request."""
+        """Return the session for a request."""
         return self.pooled if may_pool else self._single
 
 
 def build_timeout(
     remaining: float, total: float | None = None
 ) -> aiohttp.ClientTimeout:
-    """Time limits of a request whose deadline is in ``remaining`` seconds.
+    """Return the timeouts of a request whose deadline is in ``remaining`` seconds.
 
-    That of the connection, and of the whole where ``total`` is given in seconds: else
-    the rest is for whoever waits for the answer.
+    Without ``total``, in seconds, only the connection has a timeout, and the caller of
+    this function has to limit the wait for the response.
     """
-    connect = min(CONNECT_TIMEOUT, max(0.001, CONNECT_PART * remaining))
+    connect = min(CONNECT_TIMEOUT_S, max(0.001, CONNECT_SHARE * remaining))
     return aiohttp.ClientTimeout(total=total, sock_connect=connect)
 
 
@@ -130,14 +130,14 @@
         max_line_size=32 * 1024,
         max_field_size=32 * 1024,
     )
-    # Repeating is decided by the route and the retry budget, never by the library.
+    # The route and the retry budget decide on retries, never the library.
     session._retry_connection = False
     return session
 
 
 @contextlib.asynccontextmanager
 async def open_upstream_sessions() -> AsyncIterator[UpstreamSessions]:
-    """Open both sessions and close them afterwards."""
+    """Open both sessions until the block ends."""
     async with (
         _build_session(force_close=False) as pooled,
         _build_session(force_close=True) as single,
--- a/tests/lib/gateway_system.py
+++ b/tests/lib/gateway_system.py
@@ -7,7 +7,7 @@
 import aiohttp
 from yarl import URL
 
-from scalebend.core.gateway.retry_window import SETTLE_TIME
+from scalebend.core.gateway.retry_window import SETTLE_TIME_S
 from tests.lib.platform_processes import run_processes
 from tests.lib.platform_replicas import Replica, build_document, run_replica
 
@@ -105,7 +105,7 @@
             system.replicas.append(await stack.enter_async_context(running))
         await system.wait_served()
         # Retries may use the fixed part of their budget from now on.
-        await asyncio.sleep(SETTLE_TIME)
+        await asyncio.sleep(SETTLE_TIME_S)
         for replica in system.replicas:
             replica.ran.clear()
         yield system
