--- a/src/scalebend/edges/gateway/control_calls.py
+++ b/src/scalebend/edges/gateway/control_calls.py
@@ -128,7 +128,7 @@
                 continue
             engines = runtime.instance.list_engines()
             found = await inspector.inspect(engines, runtime.now())
-            runtime.instance.note_inspection(found.paces, found.silent, runtime.now())
+            runtime.instance.note_inspection(found.paces, found.unresponsive, runtime.now())
 
 
 @contextlib.asynccontextmanager
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -17,16 +17,16 @@
     compute_event_timeout,
     compute_first_byte_timeout,
 )
-from scalebend.edges.gateway.answer_news import hear_answer
 from scalebend.edges.gateway.front_runtime import FrontRuntime
-from scalebend.edges.gateway.running_attempts import RunningAttempt
-from scalebend.edges.gateway.silence import (
-    SilentError,
-    own_answer,
+from scalebend.edges.gateway.response_headers import apply_response_head
+from scalebend.edges.gateway.response_reading import (
+    UnresponsiveError,
+    cancel_on_failure,
     read_available,
-    read_whole,
+    read_body,
     wait_for_task,
 )
+from scalebend.edges.gateway.running_attempts import RunningAttempt
 from scalebend.edges.gateway.upstream_choice import Target, UpstreamChoice
 from scalebend.edges.gateway.upstream_client import build_timeout
 from scalebend.exceptions import ErrorKind, RefusedError, UpstreamError
@@ -114,7 +114,7 @@
         self.longest_gap = 0.0
         """Longest gap between forwarded events, in seconds."""
 
-        self.sent = 0
+        self.send_count = 0
         """Number of times that the request was sent to an upstream."""
 
         self.upstream: UpstreamId | None = None
@@ -144,7 +144,7 @@
             runtime.metrics.count_attempt(result.outcome.value)
             if result.outcome in (Outcome.ANSWERED, Outcome.FAILED):
                 # Even a complete error response shows that the request crashed nothing.
-                runtime.note_answered(self._fingerprint)
+                runtime.record_completed(self._fingerprint)
             if result.outcome is Outcome.ANSWERED:
                 runtime.instance.record_outcome(target.upstream, has_failed=False)
                 assert result.response is not None
@@ -153,7 +153,7 @@
             if isinstance(decision, GiveUp):
                 return self._give_up(decision, result.response)
             if result.has_unavailable_member:
-                await self._choice.exclude_silent(target)
+                await self._choice.exclude_unresponsive(target)
 
     def _compute_quarantine(self) -> float:
         """Return the seconds until the quarantine of the request ends, or 0."""
@@ -169,16 +169,16 @@
         runtime = self._runtime
         faulty = result.faulty or target.upstream
         if result.is_connection_lost:
-            runtime.note_lost(self._fingerprint, faulty)
+            runtime.record_crash(self._fingerprint, faulty)
         if result.outcome in (Outcome.SILENT, Outcome.TIMED_OUT):
-            runtime.note_unanswered(self._fingerprint, target.upstream)
+            runtime.record_unanswered(self._fingerprint, target.upstream)
         if result.outcome in (Outcome.NOT_SENT, Outcome.SILENT):
             runtime.instance.balancer.record_unreachable(target.upstream, runtime.now())
         # A timeout alone may mean a queue: reports tell whether the replica is alive.
         if result.outcome is Outcome.NOT_SENT:
-            runtime.note_replica_failure(faulty)
+            runtime.record_replica_failure(faulty)
         if result.outcome is Outcome.REJECTED and target.job is not None:
-            runtime.note_rejection(faulty)
+            runtime.record_rejection(faulty)
         if result.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
             runtime.instance.record_outcome(faulty, has_failed=True)
         decision = self._attempts.decide(
@@ -223,8 +223,10 @@
     # One attempt
 
     async def _attempt(self, target: Target) -> _AttemptResult:
-        if target.lost is not None:
-            return _AttemptResult(Outcome.LEFT, detail="not sent", faulty=target.lost)
+        if target.unavailable is not None:
+            return _AttemptResult(
+                Outcome.LEFT, detail="not sent", faulty=target.unavailable
+            )
         if self._compute_quarantine() > 0.0:
             # The quarantine began while the request waited to be sent.
             return _AttemptResult(Outcome.LEFT, detail="held back")
@@ -234,17 +236,17 @@
         attempts = self._runtime.attempts
         with attempts.watch(self._call.deadline, target.upstreams) as running:
             try:
-                async with running.limit:
+                async with running.timeout:
                     return await self._exchange(target, running)
             # Also a TimeoutError, but of the connector, before the deadline.
             except aiohttp.ConnectionTimeoutError:
                 return _AttemptResult(Outcome.NOT_SENT, detail="connection timed out")
             except aiohttp.ClientConnectorError as error:
                 return _AttemptResult(Outcome.NOT_SENT, detail=str(error))
-            except SilentError:
+            except UnresponsiveError:
                 return _AttemptResult(Outcome.SILENT)
             except (aiohttp.ClientError, OSError, GarbledEventsError) as error:
-                if not running.limit.expired():
+                if not running.timeout.expired():
                     detail = f"{type(error).__name__}: {error}"
                     is_connection_lost = isinstance(error, _CONNECTION_ERRORS)
                     return _AttemptResult(
@@ -252,13 +254,13 @@
                         detail=detail,
                         is_connection_lost=is_connection_lost,
                     )
-            if running.ended_with is None:
+            if running.restarted_upstream is None:
                 return _AttemptResult(Outcome.TIMED_OUT)
-            detail = f"{running.ended_with} started again"
+            detail = f"{running.restarted_upstream} started again"
             return _AttemptResult(
                 Outcome.BROKEN,
                 detail=detail,
-                faulty=running.ended_with,
+                faulty=running.restarted_upstream,
                 is_connection_lost=True,
             )
 
@@ -282,7 +284,7 @@
         response = await self._wait_for_head(target, sending, read_timeout)
         async with response:
             head = read_answer_headers(response.status, response.headers)
-            hear_answer(self._runtime, call, limit, head)
+            apply_response_head(self._runtime, call, limit, head)
             return await self._process_response(
                 target, running, response, head, read_timeout
             )
@@ -292,16 +294,16 @@
         runtime = self._runtime
         limit = runtime.instance.limits.get(target.upstream)
         if limit.rate < UNLIMITED:
-            runtime.metrics.count_limited_attempt(is_first=not self.sent)
+            runtime.metrics.count_limited_attempt(is_first=not self.send_count)
             logger.info(
                 "sent to a limited upstream",
                 request=self._call.headers.request,
                 upstream=target.upstream,
                 rate=limit.rate,
                 revision=limit.revision,
-                sent_before=self.sent,
+                sent_before=self.send_count,
             )
-        self.sent += 1
+        self.send_count += 1
         self.upstream = target.upstream
         return limit
 
@@ -312,10 +314,10 @@
         read_timeout: float | None,
     ) -> aiohttp.ClientResponse:
         """Wait for the response head, longer if the replica reports queued requests."""
-        with own_answer(sending) as task:
+        with cancel_on_failure(sending) as task:
             while not await wait_for_task(task, read_timeout):
                 if not self._runtime.is_queueing(target.upstream):
-                    raise SilentError
+                    raise UnresponsiveError
             return task.result()
 
     def _build_headers(self, target: Target) -> CIMultiDict[str]:
@@ -352,14 +354,14 @@
             response.close()
             return _AttemptResult(Outcome.BROKEN, detail="answer to another request")
         if head.has_not_run and response.status >= 400:
-            await read_whole(response, read_timeout)
+            await read_body(response, read_timeout)
             detail = f"status {response.status}"
             faulty = target.find_helper(head.faulty_address)
             return _AttemptResult(Outcome.REJECTED, None, detail, faulty)
         is_stream = self._call.route.kind is RouteKind.STREAMING
         if is_stream and response.status == 200:
             return await self._forward_events(target, running, response)
-        body = await read_whole(response, read_timeout)
+        body = await read_body(response, read_timeout)
         forwarded = web.Response(
             status=response.status,
             reason=response.reason,
@@ -391,9 +393,9 @@
             if response.content.is_eof():
                 running.keep_only(())
             elif is_first:
-                running.keep_only(target.holders)
+                running.keep_only(target.decode_upstreams)
             if is_first:
-                self._choice.note_first_token(target)
+                self._choice.record_first_token(target)
             is_first = False
             read_timeout = event_timeout
             self._record_event_time()
@@ -424,7 +426,7 @@
             reason=response.reason,
             headers=copy_answer_headers(response.headers),
         )
-        if self._runtime.wants_callers_to_go():
+        if self._runtime.is_closing_connections():
             stream.force_close()
         self._stream = stream
         await stream.prepare(self._request)
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -16,7 +16,7 @@
 from scalebend.edges.gateway.front_runtime import FrontRuntime
 from scalebend.edges.gateway.http_listener import answer_metrics, listen
 from scalebend.edges.gateway.sockets import Listeners
-from scalebend.edges.gateway.upstream_choice import RETRY_LATER
+from scalebend.edges.gateway.upstream_choice import DEFAULT_RETRY_AFTER_S
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
 from scalebend.edges.problems import build_problem_body
 from scalebend.exceptions import (
@@ -38,7 +38,7 @@
 
 logger = structlog.get_logger(__name__)
 
-LAST_ADMISSION = 2.8
+LAST_ADMISSION_S = 2.8
 """Seconds after the stop signal for which requests are still admitted: the load
 balancer probes every second and needs two failed probes. Later requests may not finish
 before the kill."""
@@ -105,7 +105,7 @@
         finally:
             runtime.open_requests -= 1
             runtime.metrics.set_open(runtime.open_requests)
-        if runtime.wants_callers_to_go():
+        if runtime.is_closing_connections():
             response.force_close()
         return response
 
@@ -169,7 +169,7 @@
 
     def _check_stopping(self, now: float) -> None:
         drain_began = self._runtime.drain_began
-        if drain_began is not None and now - drain_began > LAST_ADMISSION:
+        if drain_began is not None and now - drain_began > LAST_ADMISSION_S:
             raise RefusedError(
                 "this front is stopping",
                 kind=ErrorKind.NOT_READY,
@@ -181,7 +181,7 @@
         if instance.may_admit(now):
             return
         retry_after_s = (
-            RETRY_LATER if instance.has_been_ready else STARTING_RETRY_AFTER_S
+            DEFAULT_RETRY_AFTER_S if instance.has_been_ready else STARTING_RETRY_AFTER_S
         )
         raise RefusedError(
             "the routing document of this front may be outdated",
@@ -232,7 +232,7 @@
     """Return the log fields of the attempts; none if the request was not admitted."""
     if forwarder is None:
         return {}
-    return {"upstream": forwarder.upstream, "sent": forwarder.sent}
+    return {"upstream": forwarder.upstream, "sent": forwarder.send_count}
 
 
 def _build_too_large_error(max_bytes: int) -> RequestError:
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -65,7 +65,7 @@
 all, control processes are ready about a second after the first fronts, and callers on
 their last retry would fail if they were refused."""
 
-MOST_UNKNOWN_WORDS = 32
+MAX_UNKNOWN_HEADERS = 32
 MAX_HEADER_NAME_CHARS = 64
 """Bounds of header names in metrics and logs, since upstreams choose the names."""
 
@@ -188,7 +188,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=CLOSE_TIMEOUT_S)
 
-    def wants_callers_to_go(self) -> bool:
+    def is_closing_connections(self) -> bool:
         """Whether responses should close the connections of callers."""
         return self.instance.is_draining or self.instance.is_cut_off(self.now())
 
@@ -220,7 +220,7 @@
         self.metrics.count_placement("front" if is_uncoordinated else "leader")
         return Decision(placed, leader)
 
-    async def wait_for_turn(
+    async def wait_for_start(
         self, work: EngineWork, placement: Placement
     ) -> Placement | Declined:
         """Wait until the prompt may be sent.
@@ -252,7 +252,7 @@
             await asyncio.sleep(min(placement.start_in, max(0.0, work.remaining)))
         return placement
 
-    def keep_staying(self, work: EngineWork, placement: Placement) -> Placement | None:
+    def drop_unusable(self, work: EngineWork, placement: Placement) -> Placement | None:
         """Return the placement without unusable replicas; ``None`` to place anew."""
         unusable = self.instance.list_unusable(placement, self.now())
         if not unusable:
@@ -289,13 +289,13 @@
             self._execute(self.instance.record_uncoordinated_send(grant.upstream))
         return grant
 
-    def note_first_token(self, job: JobId, load: LoadReading | None) -> None:
+    def record_first_token(self, job: JobId, load: LoadReading | None) -> None:
         """Record the first event of a job, and the load that the replica reported."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
         self._execute(self.instance.record_stage(stage, self.now()))
 
-    def note_job_ended(self, job: JobId) -> None:
+    def record_job_end(self, job: JobId) -> None:
         """Record that a job ended, with or without success."""
         stage = JobStage(job, is_ended=True)
         self._execute(self.instance.record_stage(stage, self.now()))
@@ -307,9 +307,9 @@
         assert self._inspector is not None
         inspection = await self._inspector.inspect(addresses, self.now())
         self._execute(self.instance.record_paces(inspection.paces, self.now()))
-        for upstream in inspection.silent:
-            self.note_replica_failure(upstream)
-        return self._inspector.list_silent(addresses, self.now())
+        for upstream in inspection.unresponsive:
+            self.record_replica_failure(upstream)
+        return self._inspector.list_unresponsive(addresses, self.now())
 
     def is_queueing(self, upstream: UpstreamId) -> bool:
         """Whether a recent report of the replica explains a wait by queued requests."""
@@ -317,58 +317,58 @@
             return False
         return self._inspector.is_queueing(upstream, self.now())
 
-    def hear_limit(self, heard: HeardLimit) -> None:
+    def record_limit(self, heard: HeardLimit) -> None:
         """Record the rate limit, or its absence, that a response named."""
         self._execute(self.instance.record_limit(heard, self.now()))
 
-    def hear_backoff(self, upstream: UpstreamId, seconds: float) -> None:
+    def record_backoff(self, upstream: UpstreamId, seconds: float) -> None:
         """Record that an upstream rejected a request and asked for a backoff."""
         self.instance.backoffs.record(upstream, seconds, self.now())
         self.metrics.count_backoff()
 
-    def hear_draining(self, upstream: UpstreamId) -> bool:
+    def record_draining(self, upstream: UpstreamId) -> bool:
         """Record that an upstream is draining; return whether this was unknown."""
         actions = self.instance.record_draining(upstream)
         self._execute(actions or [])
         return actions is not None
 
-    def note_unknown_word(self, upstream: UpstreamId, name: str) -> None:
+    def record_unknown_header(self, upstream: UpstreamId, name: str) -> None:
         """Count a header of the upstream that this version does not know."""
         word = name.lower()[:MAX_HEADER_NAME_CHARS]
         if word not in self._unknown_headers:
-            if len(self._unknown_headers) >= MOST_UNKNOWN_WORDS:
+            if len(self._unknown_headers) >= MAX_UNKNOWN_HEADERS:
                 word = "other"
             else:
                 self._unknown_headers.add(word)
                 logger.warning("unknown word", upstream=upstream, name=word)
         self.metrics.count_unknown_word(word)
 
-    def note_all_closed(self) -> None:
+    def record_backoff_refusal(self) -> None:
         """Count a request refused since all remaining upstreams are in backoff."""
         self.metrics.count_backoff_refusal()
 
-    def note_limits_full(self) -> None:
+    def record_limit_refusal(self) -> None:
         """Count a request refused since all upstreams are at their rate limits."""
         self.metrics.count_limit_refusal()
 
-    def note_lost(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+    def record_crash(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         """Record that an upstream crashed or was disconnected during a request."""
         self.metrics.count_lost_request()
         self._execute(self.instance.record_crash(fingerprint, upstream, self.now()))
 
-    def note_unanswered(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+    def record_unanswered(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         """Record an attempt that timed out while its connection stayed open."""
         self.instance.record_unanswered(fingerprint, upstream, self.now())
 
-    def note_answered(self, fingerprint: Fingerprint) -> None:
+    def record_completed(self, fingerprint: Fingerprint) -> None:
         """Record that an upstream sent a complete response to the request."""
         self._execute(self.instance.record_completed(fingerprint, self.now()))
 
-    def note_rejection(self, upstream: UpstreamId) -> None:
+    def record_rejection(self, upstream: UpstreamId) -> None:
         """Record that an engine rejected a request without running it."""
         self._execute(self.instance.record_rejection(upstream, self.now()))
 
-    def note_replica_failure(self, upstream: UpstreamId) -> None:
+    def record_replica_failure(self, upstream: UpstreamId) -> None:
         """Record that a replica is unreachable or unresponsive."""
         self._execute(self.instance.record_failure(upstream, self.now()))
 
--- a/src/scalebend/edges/gateway/inspection.py
+++ b/src/scalebend/edges/gateway/inspection.py
@@ -45,25 +45,25 @@
 
 
 class Inspection(msgspec.Struct, frozen=True):
-    """Reports of some replicas; ``silent`` are those that did not respond."""
+    """Paces that replicas reported, and the replicas that did not respond."""
 
     paces: list[ReplicaPace]
-    silent: list[UpstreamId]
+    unresponsive: list[UpstreamId]
 
 
 def _summarise(reports: dict[UpstreamId, _Report]) -> Inspection:
     paces = []
-    silent = []
+    unresponsive = []
     for upstream, report in reports.items():
         match report:
             case ReplicaReport(pace=pace, born=born):
                 if _may_match_incarnation(upstream, born):
                     paces.append(ReplicaPace(upstream, pace))
                 else:
-                    silent.append(upstream)
+                    unresponsive.append(upstream)
             case _NoReport.UNANSWERED:
-                silent.append(upstream)
-    return Inspection(paces, silent)
+                unresponsive.append(upstream)
+    return Inspection(paces, unresponsive)
 
 
 def _may_match_incarnation(upstream: UpstreamId, born: int | None) -> bool:
@@ -88,7 +88,7 @@
             return False
         return report.waiting > 0 and report.pace < SLOW_PACE
 
-    def list_silent(
+    def list_unresponsive(
         self, upstreams: Iterable[UpstreamId], now: float
     ) -> list[UpstreamId]:
         """Return the replicas that did not respond to the last fetch, if recent."""
@@ -112,11 +112,11 @@
         reports = await asyncio.gather(*(self._fetch_report(a) for a in due.values()))
         self._reports.update(zip(due, reports, strict=True))
         inspection = _summarise(dict(zip(due, reports, strict=True)))
-        if inspection.silent or any(pace.pace > 1.0 for pace in inspection.paces):
+        if inspection.unresponsive or any(pace.pace > 1.0 for pace in inspection.paces):
             logger.info(
                 "replicas inspected",
                 asked=len(due),
-                silent=inspection.silent,
+                silent=inspection.unresponsive,
                 slow=[pace.upstream for pace in inspection.paces if pace.pace > 1.0],
             )
         return inspection
--- a/src/scalebend/edges/gateway/reservations.py
+++ b/src/scalebend/edges/gateway/reservations.py
@@ -22,15 +22,15 @@
 
 logger = structlog.get_logger(__name__)
 
-ORDER_TIMEOUT = 0.5
+ORDER_TIMEOUT_S = 0.5
 """Timeout of one order to a replica, which needs no slot there."""
 
-HOLD = 3.4
+RESERVATION_LIFE_S = 3.4
 """Lifetime of a reservation that is not renewed. A front may crash, or an order may
 arrive after its release; either way the replica frees the memory within the 4 s that
 the platform allows."""
 
-RENEW_PERIOD = 1.1
+RENEW_INTERVAL_S = 1.1
 """Interval of renewals: two in a row may be lost."""
 
 MAX_RELEASE_ATTEMPTS = 4
@@ -39,7 +39,7 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-class HolderSilentError(Exception):
+class HelperUnresponsiveError(Exception):
     """A helper did not respond to a reservation; the request was not sent."""
 
     def __init__(self, upstream: UpstreamId) -> None:
@@ -48,14 +48,14 @@
 
 
 @contextlib.asynccontextmanager
-async def hold_memory(
+async def reserve_memory(
     runtime: FrontRuntime, work: EngineWork, placement: Placement
 ) -> AsyncIterator[list[str]]:
     """Reserve the memory of a placement; yield the helpers in the form of the header.
 
     A helper that rejects the reservation is named nevertheless: the request then fails
     there without having run, and is placed anew. If one does not respond at all, raise
-    :class:`HolderSilentError`: a request that is not sent uses no retry budget.
+    :class:`HelperUnresponsiveError`: a request that is not sent uses no retry budget.
     """
     holders = [helper for helper in placement.helpers if helper.tokens]
     renewal: asyncio.Task[None] | None = None
@@ -63,7 +63,7 @@
         if holders:
             statuses = await _reserve_all(runtime, work, holders)
             if None in statuses:
-                raise HolderSilentError(holders[statuses.index(None)].upstream)
+                raise HelperUnresponsiveError(holders[statuses.index(None)].upstream)
             renewal = asyncio.create_task(_renew(runtime, work, holders))
         yield [
             format_helper(helper.address, work.job if helper.tokens else None)
@@ -80,7 +80,7 @@
     runtime: FrontRuntime, work: EngineWork, holders: list[Helper]
 ) -> None:
     while True:
-        await asyncio.sleep(RENEW_PERIOD)
+        await asyncio.sleep(RENEW_INTERVAL_S)
         await _reserve_all(runtime, work, holders)
 
 
@@ -95,7 +95,7 @@
 async def _reserve(
     runtime: FrontRuntime, work: EngineWork, helper: Helper
 ) -> int | None:
-    life_s = min(HOLD, runtime.settings.bounds.hold_most)
+    life_s = min(RESERVATION_LIFE_S, runtime.settings.bounds.hold_most)
     body = encode_reservation(work.job, helper.tokens, life_s)
     status = await _send_order(runtime, helper, body)
     logger.info(
@@ -126,7 +126,7 @@
 async def _send_order(runtime: FrontRuntime, helper: Helper, body: bytes) -> int | None:
     """Return the status of the response, ``None`` if there was none."""
     url = f"http://{helper.address}{ORDER_PATH}"
-    timeout = build_timeout(ORDER_TIMEOUT, ORDER_TIMEOUT)
+    timeout = build_timeout(ORDER_TIMEOUT_S, ORDER_TIMEOUT_S)
     session = runtime.sessions.pooled
     try:
         async with session.post(
--- a/src/scalebend/edges/gateway/answer_news.py
+++ b/src/scalebend/edges/gateway/response_headers.py
@@ -12,7 +12,7 @@
 logger = structlog.get_logger(__name__)
 
 
-def hear_answer(
+def apply_response_head(
     runtime: FrontRuntime, call: Call, known: RequestLimit, headers: AnswerHeaders
 ) -> None:
     """Apply the head of a response to ``call``.
@@ -23,10 +23,10 @@
     if headers.request not in (None, call.headers.request):
         return
     for name in headers.unknown_words:
-        runtime.note_unknown_word(known.upstream, name)
+        runtime.record_unknown_header(known.upstream, name)
     _record_limit(runtime, known, headers)
     _record_backoff(runtime, call, known.upstream, headers)
-    if headers.is_draining and runtime.hear_draining(known.upstream):
+    if headers.is_draining and runtime.record_draining(known.upstream):
         logger.info(
             "draining heard", request=call.headers.request, upstream=known.upstream
         )
@@ -41,7 +41,7 @@
     if headers.has_not_run and headers.request_limit == UNLIMITED:
         return
     observed = HeardLimit(known.upstream, headers.request_limit, known.revision)
-    runtime.hear_limit(observed)
+    runtime.record_limit(observed)
 
 
 def _record_backoff(
@@ -59,4 +59,4 @@
         upstream=upstream,
         seconds=headers.backoff,
     )
-    runtime.hear_backoff(upstream, headers.backoff)
+    runtime.record_backoff(upstream, headers.backoff)
--- a/src/scalebend/edges/gateway/silence.py
+++ b/src/scalebend/edges/gateway/response_reading.py
@@ -17,7 +17,7 @@
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 """Largest body of a response that is buffered before it is forwarded."""
 
-PAUSE = 0.2
+MIN_STALL_S = 0.2
 """Delay of a timer that shows a stall: far more than one busy iteration of the event
 loop."""
 
@@ -25,12 +25,12 @@
 """Second timeout after a stall: pending data is read within an iteration or two."""
 
 
-class SilentError(Exception):
+class UnresponsiveError(Exception):
     """The upstream sent no bytes within the timeout."""
 
 
 @contextlib.contextmanager
-def own_answer(
+def cancel_on_failure(
     sending: Awaitable[aiohttp.ClientResponse],
 ) -> Iterator[asyncio.Future[aiohttp.ClientResponse]]:
     """Send a request; if the block fails, cancel it and close its response.
@@ -60,7 +60,7 @@
         done, _ = await asyncio.wait({task}, timeout=timeout)
         if done:
             return True
-        if timeout is None or loop.time() - began - timeout < PAUSE:
+        if timeout is None or loop.time() - began - timeout < MIN_STALL_S:
             return False
         timeout = EXTRA_READ_TIMEOUT_S
 
@@ -77,15 +77,15 @@
             due = timer.when()
             if not timer.expired() or due is None:
                 raise
-            if loop.time() - due < PAUSE:
-                raise SilentError from None
+            if loop.time() - due < MIN_STALL_S:
+                raise UnresponsiveError from None
             timeout = EXTRA_READ_TIMEOUT_S
 
 
-async def read_whole(response: aiohttp.ClientResponse, timeout: float | None) -> bytes:
+async def read_body(response: aiohttp.ClientResponse, timeout: float | None) -> bytes:
     """Return the whole body.
 
-    Raises :class:`SilentError` when no bytes come for ``timeout`` seconds, and
+    Raises :class:`UnresponsiveError` when no bytes come for ``timeout`` seconds, and
     :class:`aiohttp.ClientPayloadError` for a body over ``MAX_RESPONSE_BYTES``.
     """
     parts: list[bytes] = []
--- a/src/scalebend/edges/gateway/running_attempts.py
+++ b/src/scalebend/edges/gateway/running_attempts.py
@@ -23,9 +23,9 @@
 
     def __init__(self, deadline: float, upstreams: Iterable[UpstreamId]) -> None:
         """``upstreams`` are those that the response depends on."""
-        self.limit = asyncio.timeout_at(deadline)
+        self.timeout = asyncio.timeout_at(deadline)
         self.upstreams = set(upstreams)
-        self.ended_with: UpstreamId | None = None
+        self.restarted_upstream: UpstreamId | None = None
         """The upstream whose restart ended the attempt."""
 
     def keep_only(self, upstreams: Iterable[UpstreamId]) -> None:
@@ -34,11 +34,11 @@
 
     def end(self, upstream: UpstreamId) -> None:
         """End the attempt, unless it no longer needs the restarted ``upstream``."""
-        if upstream not in self.upstreams or self.ended_with is not None:
+        if upstream not in self.upstreams or self.restarted_upstream is not None:
             return
-        self.ended_with = upstream
-        if not self.limit.expired():
-            self.limit.reschedule(asyncio.get_running_loop().time())
+        self.restarted_upstream = upstream
+        if not self.timeout.expired():
+            self.timeout.reschedule(asyncio.get_running_loop().time())
 
 
 class RunningAttempts:
--- a/src/scalebend/edges/gateway/service_choice.py
+++ b/src/scalebend/edges/gateway/service_choice.py
@@ -20,7 +20,7 @@
 eight has a permit left, seven of eight random samples include one."""
 
 
-class Room(msgspec.Struct, frozen=True):
+class ServiceChoice(msgspec.Struct, frozen=True):
     """The upstream that may be sent the request now, or when there will be one."""
 
     endpoint: Endpoint | None
@@ -28,9 +28,9 @@
     """Seconds until a send permit is free, if only rate limits prevent the send."""
 
 
-async def choose_with_room(
+async def choose_within_limits(
     runtime: FrontRuntime, call: Call, excluded: set[UpstreamId]
-) -> Room:
+) -> ServiceChoice:
     """Return the least loaded usable upstream; wait a little if none is available.
 
     Only rate-limited ones need a send permit of the leader, a round trip.
@@ -51,10 +51,10 @@
         if endpoint is None:
             if full:
                 _log_full(call, full, retry_after)
-                runtime.note_limits_full()
-            return Room(None, retry_after)
+                runtime.record_limit_refusal()
+            return ServiceChoice(None, retry_after)
         if not instance.limits.is_limited(endpoint.upstream):
-            return Room(endpoint)
+            return ServiceChoice(endpoint)
         unavailable = excluded.union(in_backoff)
         candidates = {
             one.upstream: one for one in usable if one.upstream not in unavailable
@@ -67,7 +67,7 @@
         if permit.upstream is not None:
             await asyncio.sleep(permit.wait)
             if instance.may_send(permit.upstream, runtime.now()):
-                return Room(candidates[permit.upstream])
+                return ServiceChoice(candidates[permit.upstream])
         full.update(limited)
         retry_after = permit.wait
 
--- a/src/scalebend/edges/gateway/upstream_choice.py
+++ b/src/scalebend/edges/gateway/upstream_choice.py
@@ -14,18 +14,18 @@
     compute_room_timeout,
 )
 from scalebend.edges.gateway.front_runtime import FrontRuntime
-from scalebend.edges.gateway.reservations import HolderSilentError, hold_memory
-from scalebend.edges.gateway.service_choice import choose_with_room
+from scalebend.edges.gateway.reservations import HelperUnresponsiveError, reserve_memory
+from scalebend.edges.gateway.service_choice import choose_within_limits
 from scalebend.models.calls import Call, LoadReading
 from scalebend.models.ids import Fingerprint, InstanceId, UpstreamId
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 
 logger = structlog.get_logger(__name__)
 
-RETRY_LATER = 0.25
+DEFAULT_RETRY_AFTER_S = 0.25
 """``Retry-After`` of refused requests: engines finish several short requests in it."""
 
-RETURN_SPREAD = 0.25
+RETRY_AFTER_SPREAD_S = 0.25
 """Jitter of ``Retry-After`` for callers refused during one backoff, who would overload
 the first available upstream if they retried together."""
 
@@ -39,7 +39,7 @@
     predicted: float | None = None
     job: JobId | None = None
     placement: Placement | None = None
-    lost: UpstreamId | None = None
+    unavailable: UpstreamId | None = None
     """An unavailable upstream of the placement: the request must not be sent."""
 
     @property
@@ -50,7 +50,7 @@
         return self.placement.upstreams
 
     @property
-    def holders(self) -> list[UpstreamId]:
+    def decode_upstreams(self) -> list[UpstreamId]:
         """Those that are needed until the end; the other helpers only prefill."""
         helpers = self.placement.helpers if self.placement is not None else ()
         return [self.upstream, *(one.upstream for one in helpers if one.tokens)]
@@ -64,9 +64,13 @@
         return None
 
 
-def _build_unavailable_target(placement: Placement, lost: UpstreamId) -> Target:
+def _build_unavailable_target(placement: Placement, unavailable: UpstreamId) -> Target:
     return Target(
-        placement.upstream, placement.address, [], placement=placement, lost=lost
+        placement.upstream,
+        placement.address,
+        [],
+        placement=placement,
+        unavailable=unavailable,
     )
 
 
@@ -92,10 +96,10 @@
         self.has_failed = True
         """Whether the attempt failed; true until a response succeeded."""
 
-        self.retry_after = RETRY_LATER
+        self.retry_after = DEFAULT_RETRY_AFTER_S
         """Seconds after which the caller may retry, if nothing is chosen."""
 
-    async def exclude_silent(self, target: Target) -> None:
+    async def exclude_unresponsive(self, target: Target) -> None:
         """Exclude all replicas of a prefill group that do not respond now.
 
         Several often crash together. If they were found one by one, by failed attempts,
@@ -105,11 +109,11 @@
             unresponsive = await self._runtime.inspect(target.placement)
             self._excluded.update(unresponsive)
 
-    def note_first_token(self, target: Target) -> None:
+    def record_first_token(self, target: Target) -> None:
         """Record the first event of a stream."""
         if target.job is not None:
             self._cancel_inspection()
-            self._runtime.note_first_token(target.job, self.load)
+            self._runtime.record_first_token(target.job, self.load)
 
     @contextlib.asynccontextmanager
     async def choose(self) -> AsyncIterator[Target | None]:
@@ -136,8 +140,8 @@
             if wait > compute_room_timeout(call, now):
                 break
             await asyncio.sleep(wait)
-        self.retry_after = wait + runtime.chooser.uniform(0.0, RETURN_SPREAD)
-        runtime.note_all_closed()
+        self.retry_after = wait + runtime.chooser.uniform(0.0, RETRY_AFTER_SPREAD_S)
+        runtime.record_backoff_refusal()
         logger.info(
             "all upstreams asked for a pause",
             request=call.headers.request,
@@ -150,7 +154,7 @@
     async def _choose_service(self) -> AsyncIterator[Target | None]:
         runtime = self._runtime
         instance = runtime.instance
-        choice = await choose_with_room(runtime, self._call, self._excluded)
+        choice = await choose_within_limits(runtime, self._call, self._excluded)
         endpoint = choice.endpoint
         if endpoint is None:
             if choice.retry_after is not None:
@@ -183,7 +187,7 @@
             return
         self._log_placement(work, placement, decision.leader)
         try:
-            renewed = await runtime.wait_for_turn(work, placement)
+            renewed = await runtime.wait_for_start(work, placement)
             if isinstance(renewed, Declined):
                 self._log_declined(work, renewed, decision.leader)
                 self.retry_after = renewed.retry_after
@@ -192,16 +196,16 @@
             if renewed.upstreams != placement.upstreams:
                 self._log_placement(work, renewed, decision.leader)
             placement = renewed
-            kept = runtime.keep_staying(work, placement)
+            kept = runtime.drop_unusable(work, placement)
             if kept is None:
                 yield _build_unavailable_target(placement, placement.upstream)
                 return
             placement = kept
             async with contextlib.AsyncExitStack() as stack:
-                reservation = hold_memory(runtime, work, placement)
+                reservation = reserve_memory(runtime, work, placement)
                 try:
                     helpers = await stack.enter_async_context(reservation)
-                except HolderSilentError as error:
+                except HelperUnresponsiveError as error:
                     yield _build_unavailable_target(placement, error.upstream)
                     return
                 self._inspection_timer = asyncio.get_running_loop().call_later(
@@ -220,7 +224,7 @@
                 )
         finally:
             self._cancel_inspection()
-            runtime.note_job_ended(work.job)
+            runtime.record_job_end(work.job)
 
     def _cancel_inspection(self) -> None:
         if self._inspection_timer is not None:
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 
-from scalebend.edges.gateway.front_calls import LAST_ADMISSION
+from scalebend.edges.gateway.front_calls import LAST_ADMISSION_S
 from scalebend.platform.headers import EXPECTED_UPSTREAM
 from tests.lib.gateway_system import SERVICE, run_system
 from tests.lib.platform_replicas import EVENTS, build_document
@@ -201,7 +201,7 @@
 
 async def test_stopping_front_takes_nothing_that_it_may_not_finish(system):
     system.processes.signal("front-0", signal.SIGTERM)
-    await asyncio.sleep(LAST_ADMISSION + 0.3)
+    await asyncio.sleep(LAST_ADMISSION_S + 0.3)
     system.replicas[0].ran.clear()
     system.replicas[1].ran.clear()
     status, _, headers = await system.call("stream")
--- a/tests/unit/gateway/test_backoff.py
+++ b/tests/unit/gateway/test_backoff.py
@@ -8,7 +8,7 @@
 from structlog.testing import capture_logs
 
 from scalebend.core.upstream_backoff import MAX_BACKOFF_S, UpstreamBackoffs
-from scalebend.edges.gateway.upstream_choice import RETURN_SPREAD
+from scalebend.edges.gateway.upstream_choice import RETRY_AFTER_SPREAD_S
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Declined
 from scalebend.models.routing import RouteKind
@@ -136,7 +136,7 @@
     assert len(tired.arrived) == 1
     for answer in (first, second):
         assert answer.status == 503
-        assert 4.0 < float(answer.headers["Retry-After"]) <= 5.0 + RETURN_SPREAD
+        assert 4.0 < float(answer.headers["Retry-After"]) <= 5.0 + RETRY_AFTER_SPREAD_S
 
 
 async def test_callers_that_are_refused_together_come_back_apart():
@@ -148,7 +148,7 @@
     pauses = [float(answer.headers["Retry-After"]) for answer in answers]
     # None before the pause is over, and not all in one moment.
     assert min(pauses) > tired.until - time.monotonic()
-    assert max(pauses) - min(pauses) > RETURN_SPREAD / 2
+    assert max(pauses) - min(pauses) > RETRY_AFTER_SPREAD_S / 2
 
 
 @pytest.mark.parametrize("has_engines", [False, True])
--- a/tests/unit/gateway/test_lost_replicas.py
+++ b/tests/unit/gateway/test_lost_replicas.py
@@ -164,7 +164,7 @@
             found = await inspector.inspect(addresses, front.runtime.now())
             assert time.monotonic() - began < 0.25
             # A response that is no report still shows that the replica is alive.
-            assert sorted(found.silent) == ["i-1", "i-2"]
+            assert sorted(found.unresponsive) == ["i-1", "i-2"]
             assert found.paces == []
 
 
--- a/tests/unit/gateway/test_reservations.py
+++ b/tests/unit/gateway/test_reservations.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from scalebend.edges.gateway import reservations
-from scalebend.edges.gateway.reservations import HOLD, hold_memory
+from scalebend.edges.gateway.reservations import RESERVATION_LIFE_S, reserve_memory
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
 from scalebend.models.placement import Helper, Placement
 from tests.lib.gateway_builders import build_work
@@ -61,13 +61,13 @@
     async with run_helpers(2) as (replicas, runtime):
         placement = build_placement(replicas, (50_000, 0))
         work = build_work(1, 500_000)
-        async with hold_memory(runtime, work, placement) as helpers:
+        async with reserve_memory(runtime, work, placement) as helpers:
             assert helpers == [
                 f"{replicas[0].address}/{work.job}",
                 replicas[1].address,
             ]
             assert list_orders(replicas[0]) == ["reserve"]
-            assert replicas[0].orders[0]["HoldMs"] == int(HOLD * 1000)
+            assert replicas[0].orders[0]["HoldMs"] == int(RESERVATION_LIFE_S * 1000)
         await asyncio.gather(*runtime.tasks)
         assert list_orders(replicas[0]) == ["reserve", "release"]
         assert replicas[0].orders[1]["Id"] == work.job
@@ -75,10 +75,10 @@
 
 
 async def test_memory_is_renewed_while_the_request_runs(monkeypatch):
-    monkeypatch.setattr(reservations, "RENEW_PERIOD", 0.05)
+    monkeypatch.setattr(reservations, "RENEW_INTERVAL_S", 0.05)
     async with run_helpers(1) as (replicas, runtime):
         placement = build_placement(replicas, (50_000,))
-        async with hold_memory(runtime, build_work(1, 500_000), placement):
+        async with reserve_memory(runtime, build_work(1, 500_000), placement):
             await asyncio.sleep(0.2)
         await asyncio.gather(*runtime.tasks)
         orders = list_orders(replicas[0])
@@ -94,7 +94,7 @@
         placement = build_placement(replicas, (50_000,))
 
         async def run():
-            async with hold_memory(runtime, build_work(1, 500_000), placement):
+            async with reserve_memory(runtime, build_work(1, 500_000), placement):
                 await asyncio.sleep(60)
 
         task = asyncio.create_task(run())
@@ -129,7 +129,7 @@
         port = site._server.sockets[0].getsockname()[1]
         replica.address = f"127.0.0.1:{port}"
         placement = build_placement(replicas, (50_000,))
-        async with hold_memory(runtime, build_work(1, 500_000), placement):
+        async with reserve_memory(runtime, build_work(1, 500_000), placement):
             pass
         await asyncio.gather(*runtime.tasks)
         await runner.cleanup()
@@ -138,5 +138,8 @@
 
 def test_nobody_s_reservation_outlasts_what_the_platform_allows():
     # A front may die, or an order be carried out late: the hold alone must end it.
-    assert HOLD < 4.0
-    assert 2 * reservations.RENEW_PERIOD + reservations.ORDER_TIMEOUT < HOLD
+    assert RESERVATION_LIFE_S < 4.0
+    assert (
+        2 * reservations.RENEW_INTERVAL_S + reservations.ORDER_TIMEOUT_S
+        < RESERVATION_LIFE_S
+    )
--- a/tests/unit/gateway/test_silence.py
+++ b/tests/unit/gateway/test_response_reading.py
@@ -6,10 +6,10 @@
 import aiohttp
 import pytest
 
-from scalebend.edges.gateway.silence import (
-    PAUSE,
-    SilentError,
-    own_answer,
+from scalebend.edges.gateway.response_reading import (
+    MIN_STALL_S,
+    UnresponsiveError,
+    cancel_on_failure,
     read_available,
     wait_for_task,
 )
@@ -36,7 +36,7 @@
 
 
 async def test_silence_is_seen():
-    with pytest.raises(SilentError):
+    with pytest.raises(UnresponsiveError):
         await read_available(build_content(), PATIENCE)
 
 
@@ -50,7 +50,7 @@
     """The other end writes, then this process does not run for a while."""
     writer.write(b"there")
     await asyncio.sleep(0)
-    time.sleep(PATIENCE + 2 * PAUSE)
+    time.sleep(PATIENCE + 2 * MIN_STALL_S)
 
 
 async def test_bytes_that_came_while_the_process_stood_still_are_read():
@@ -87,9 +87,9 @@
     content = build_content()
     reading = asyncio.create_task(read_available(content, PATIENCE))
     await asyncio.sleep(0)
-    time.sleep(PATIENCE + 2 * PAUSE)
+    time.sleep(PATIENCE + 2 * MIN_STALL_S)
     began = time.monotonic()
-    with pytest.raises(SilentError):
+    with pytest.raises(UnresponsiveError):
         await reading
     assert time.monotonic() - began < 1.0
 
@@ -105,7 +105,7 @@
 
 
 async def take(sending):
-    with own_answer(sending) as task:
+    with cancel_on_failure(sending) as task:
         await wait_for_task(task, None)
         return task.result()
 
@@ -155,8 +155,8 @@
             cancelled.append(True)
             raise
 
-    with pytest.raises(SilentError), own_answer(send()) as task:
+    with pytest.raises(UnresponsiveError), cancel_on_failure(send()) as task:
         if not await wait_for_task(task, PATIENCE):
-            raise SilentError
+            raise UnresponsiveError
     await asyncio.sleep(0.01)
     assert cancelled
--- a/tests/unit/gateway/test_unknown_words.py
+++ b/tests/unit/gateway/test_unknown_headers.py
@@ -3,7 +3,7 @@
 from aiohttp import web
 from structlog.testing import capture_logs
 
-from scalebend.edges.gateway.front_runtime import MOST_UNKNOWN_WORDS
+from scalebend.edges.gateway.front_runtime import MAX_UNKNOWN_HEADERS
 from scalebend.platform.headers import build_answer_headers, read_answer_headers
 from tests.lib.front import run_front, serve
 from tests.lib.gateway_builders import build_routing
@@ -39,8 +39,8 @@
 async def test_names_are_bounded():
     async with run_front(build_routing()) as front:
         for number in range(1000):
-            front.runtime.note_unknown_word("i-1", f"Server-{number}" + "x" * 999)
+            front.runtime.record_unknown_header("i-1", f"Server-{number}" + "x" * 999)
         figures = front.runtime.metrics.render().decode()
     lines = [line for line in figures.splitlines() if "unknown_words_total{" in line]
-    assert len(lines) == MOST_UNKNOWN_WORDS + 1
+    assert len(lines) == MAX_UNKNOWN_HEADERS + 1
     assert max(map(len, lines)) < 200
