--- a/src/scalebend/edges/gateway/control_calls.py
+++ b/src/scalebend/edges/gateway/control_calls.py
@@ -128,7 +128,9 @@
                 continue
             engines = runtime.instance.list_engines()
             found = await inspector.inspect(engines, runtime.now())
-            runtime.instance.note_inspection(found.paces, found.unresponsive, runtime.now())
+            runtime.instance.note_inspection(
+                found.paces, found.unresponsive, runtime.now()
+            )
 
 
 @contextlib.asynccontextmanager
--- a/tests/functional/test_engine_backoff.py
+++ b/tests/functional/test_engine_backoff.py
@@ -1,8 +1,7 @@
-"""Engines of the project's own interface that turn requests away and ask for a pause.
+"""Engines of the project's own interface that reject requests and ask for a backoff.
 
-The same cause as over the users' platform: what an engine said with a refusal reached
-the caller of that one request, and no choice of the entry. A word that is no number of
-seconds, such as a date, even made a request that had not run one that may have run.
+Guards against choices that ignore the backoff, and against an unreadable
+``Retry-After`` that makes a request count as run.
 """
 
 import asyncio
@@ -12,9 +11,9 @@
 
 from tests.lib.fleet import run_fleet
 
-PAUSE = 3.0
-TOLERATED = 2
-UNDER_WAY = 0.5
+BACKOFF_S = 3.0
+MAX_REQUESTS = 2
+IN_FLIGHT_S = 0.5
 
 
 async def call_until(fleet, end, statuses, number):
@@ -36,33 +35,33 @@
     return statuses
 
 
-def count_within(engine):
+def count_in_backoff(engine):
     first = engine.turned_away[0]
-    since, until = first + UNDER_WAY, first + PAUSE
+    since, until = first + IN_FLIGHT_S, first + BACKOFF_S
     return sum(since < at < until for at in engine.turned_away)
 
 
-async def test_engine_that_asks_for_a_pause_gets_one():
+async def test_backoff_of_an_engine_is_respected():
     async with run_fleet(3) as fleet:
-        tired = fleet.engines[0]
-        tired.pause = f"{PAUSE:g}"
-        statuses = await run_load(fleet, PAUSE)
-        assert tired.turned_away
-        assert count_within(tired) <= TOLERATED
+        rejecting = fleet.engines[0]
+        rejecting.pause = f"{BACKOFF_S:g}"
+        statuses = await run_load(fleet, BACKOFF_S)
+        assert rejecting.turned_away
+        assert count_in_backoff(rejecting) <= MAX_REQUESTS
         assert set(statuses) == {200}
 
 
-async def test_pause_of_all_engines_is_kept_and_callers_are_told():
+async def test_backoff_of_all_engines_is_respected_and_reported_to_callers():
     async with run_fleet(2) as fleet:
         for engine in fleet.engines:
-            engine.pause = f"{PAUSE:g}"
-        await run_load(fleet, PAUSE - 0.5, callers=4)
+            engine.pause = f"{BACKOFF_S:g}"
+        await run_load(fleet, BACKOFF_S - 0.5, callers=4)
         async with fleet.complete("one more") as answer:
             problem = msgspec.json.decode(await answer.read())
         assert (answer.status, problem["ran"]) == (503, "no")
-        assert 0 < int(answer.headers["Retry-After"]) <= PAUSE
+        assert 0 < int(answer.headers["Retry-After"]) <= BACKOFF_S
         for engine in fleet.engines:
-            assert count_within(engine) <= TOLERATED
+            assert count_in_backoff(engine) <= MAX_REQUESTS
             engine.pause = None
         await asyncio.sleep(1.0)
         async with fleet.complete("and another") as answer:
@@ -71,7 +70,7 @@
 
 
 @pytest.mark.parametrize("status", [429, 503])
-async def test_caller_learns_when_a_refusing_engine_wants_to_be_asked_again(status):
+async def test_caller_gets_the_retry_after_of_a_rejecting_engine(status):
     async with run_fleet(1) as fleet:
         fleet.engines[0].pause = "3"
         fleet.engines[0].refusal_status = status
@@ -81,10 +80,10 @@
         assert answer.headers["Retry-After"] == "3"
 
 
-@pytest.mark.parametrize("word", ["Wed, 21 Oct 2026 07:28:00 GMT", "-1", "soon"])
-async def test_word_that_is_no_number_leaves_a_refusal_a_refusal(word):
+@pytest.mark.parametrize("retry_after", ["Wed, 21 Oct 2026 07:28:00 GMT", "-1", "soon"])
+async def test_unreadable_retry_after_still_means_not_run(retry_after):
     async with run_fleet(1) as fleet:
-        fleet.engines[0].pause = word
+        fleet.engines[0].pause = retry_after
         async with fleet.complete("a prompt") as answer:
             problem = msgspec.json.decode(await answer.read())
         assert problem["ran"] == "no"
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -1,4 +1,4 @@
-"""Gateway processes before stand-in replicas: what callers and replicas see."""
+"""Gateway processes with stand-in replicas, as seen by callers and replicas."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 from tests.lib.gateway_system import SERVICE, run_system
 from tests.lib.platform_replicas import EVENTS, build_document
 
-WHOLE_STREAM = b"".join(
+COMPLETE_STREAM = b"".join(
     f"id: {n}\ndata: {n}\n\n".encode() for n in range(1, EVENTS + 1)
 )
 
@@ -50,8 +50,8 @@
     assert not list_runs(system)
 
 
-async def test_stream_is_passed_on_and_resumed_at_another_replica(system):
-    assert (await system.call("stream"))[1] == WHOLE_STREAM
+async def test_stream_is_forwarded_and_resumed_at_another_replica(system):
+    assert (await system.call("stream"))[1] == COMPLETE_STREAM
     for replica in system.replicas:
         replica.ran.clear()
     system.replicas[0].mode = system.replicas[1].mode = "break"
@@ -62,17 +62,17 @@
         if not replica.ran:
             replica.mode = "answer"
     status, body, _ = await task
-    assert (status, body) == (200, WHOLE_STREAM)
+    assert (status, body) == (200, COMPLETE_STREAM)
     last_events = [r.headers.get("Last-Event-Id") for r, _ in list_runs(system)]
     assert sorted(map(str, last_events)) == ["2", "None"]
 
 
-async def test_caller_that_resumes_gets_the_rest(system):
+async def test_caller_that_resumes_gets_the_remaining_events(system):
     _, body, _ = await system.call("stream", **{"Last-Event-Id": "3"})
     assert body == b"id: 4\ndata: 4\n\nid: 5\ndata: 5\n\n"
 
 
-async def test_not_repeatable_request_runs_once_and_is_not_called_refused(system):
+async def test_non_idempotent_request_runs_once_and_is_not_reported_as_refused(system):
     for replica in system.replicas:
         replica.mode = "vanish"
     status, _, headers = await system.call("non_idempotent")
@@ -81,7 +81,7 @@
     assert len(list_runs(system)) == 1
 
 
-async def test_full_replicas_make_a_true_refusal(system):
+async def test_full_replicas_lead_to_a_refusal_without_a_run(system):
     for replica in system.replicas:
         replica.mode = "full"
     status, _, headers = await system.call("non_idempotent")
@@ -90,7 +90,7 @@
     assert not list_runs(system)
 
 
-async def test_failure_of_one_replica_is_retried_at_another(system):
+async def test_error_of_one_replica_is_retried_at_another(system):
     system.replicas[0].mode = "fail"
     statuses = [(await system.call("idempotent"))[0] for _ in range(6)]
     assert statuses == [200] * 6
@@ -101,7 +101,7 @@
     assert headers["X-Server-Seal"].startswith("seal-of-")
 
 
-async def test_answer_to_another_request_is_never_passed_on(system):
+async def test_response_to_another_request_is_never_forwarded(system):
     system.replicas[0].mode = "foreign"
     for _ in range(6):
         status, body, _ = await system.call("idempotent")
@@ -112,7 +112,7 @@
     assert (await system.call("stream"))[0] == 502
 
 
-async def test_leaving_replica_gets_nothing_new(system):
+async def test_draining_replica_gets_no_new_requests(system):
     await system.replicas[0].register(system.session, state="draining")
     await asyncio.sleep(0.3)
     system.replicas[0].ran.clear()
@@ -121,7 +121,7 @@
     assert not system.replicas[0].ran
 
 
-async def test_configuration_is_read_back_and_never_goes_back(system):
+async def test_configuration_is_readable_and_never_reverts(system):
     newest = build_document(7, [SERVICE])
     assert await system.put(newest) == 200
     assert await system.put(build_document(3, [])) == 200
@@ -135,14 +135,14 @@
     assert (await system.call("idempotent"))[0] == 200
 
 
-async def test_revoked_key_is_refused(system):
+async def test_revoked_key_is_rejected(system):
     assert await system.put(build_document(2, [SERVICE], keys=("key-2",))) == 200
     await asyncio.sleep(0.5)
     assert (await system.call("idempotent"))[0] == 401
     assert (await system.call("idempotent", key="key-2"))[0] == 200
 
 
-async def test_front_cut_off_from_control_stops_admitting_in_time(system):
+async def test_front_isolated_from_control_stops_admitting_in_time(system):
     for name in system.processes.names[:3]:
         system.processes.signal(name, signal.SIGSTOP)
     await asyncio.sleep(5.0)
@@ -159,7 +159,7 @@
 async def test_request_waits_for_the_first_lease_of_a_process(system):
     system.processes.kill("front-0")
     system.processes.start("front-0")
-    # It listens before it has met anyone.
+    # It accepts callers before it has any link.
     status = None
     while status is None:
         with contextlib.suppress(aiohttp.ClientConnectorError):
@@ -189,17 +189,17 @@
         await asyncio.sleep(0.01)
     system.processes.signal("front-0", signal.SIGTERM)
     await system.wait_ready(is_ready=False, seconds=2.0)
-    # Callers that were not told yet are still served, and told to go.
+    # Callers that still connect are served, with a response that closes the connection.
     status, _, headers = await system.call("idempotent")
     assert status == 200
     assert headers["Connection"] == "close"
     for replica in system.replicas:
         replica.gate.set()
-    assert (await task)[1] == WHOLE_STREAM
+    assert (await task)[1] == COMPLETE_STREAM
     assert system.processes.running["front-0"].wait(timeout=10) == 0
 
 
-async def test_stopping_front_takes_nothing_that_it_may_not_finish(system):
+async def test_stopping_front_refuses_late_requests(system):
     system.processes.signal("front-0", signal.SIGTERM)
     await asyncio.sleep(LAST_ADMISSION_S + 0.3)
     system.replicas[0].ran.clear()
@@ -211,7 +211,7 @@
     assert not list_runs(system)
 
 
-async def test_each_decision_on_a_request_is_in_the_log(system):
+async def test_decisions_on_a_request_are_logged(system):
     system.replicas[0].mode = system.replicas[1].mode = "full"
     await system.call("idempotent", **{"X-Request-Id": "traced-1"})
     lines = [
@@ -235,26 +235,26 @@
     assert "scalebend_request_seconds_bucket" in text
 
 
-async def test_caller_that_leaves_is_worked_for_no_longer(system):
+async def test_work_is_cancelled_when_the_caller_disconnects(system):
     for replica in system.replicas:
         replica.gate.clear()
     task = asyncio.create_task(system.call("stream"))
     while not list_runs(system):
         await asyncio.sleep(0.001)
-    left_at = time.monotonic()
+    disconnected_at = time.monotonic()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     async with asyncio.timeout(5.0):
         while not any(replica.cancelled_at for replica in system.replicas):
             await asyncio.sleep(0.01)
     cancelled = [at for replica in system.replicas for at in replica.cancelled_at]
-    assert min(cancelled) - left_at < 0.5
-    # And nobody is asked to go on with it.
+    assert min(cancelled) - disconnected_at < 0.5
+    # No other replica is sent the request.
     await asyncio.sleep(0.6)
     assert len(list_runs(system)) == 1
 
 
-async def test_relay_without_a_disk_introduces_and_redirects(system):
+async def test_relay_without_a_disk_registers_and_redirects(system):
     processes = system.processes
     relay = processes.find_control("relay-0")
     processes.start("relay-0")
@@ -266,7 +266,7 @@
     replica = system.replicas[0]
     replica.controls = [relay]
     await replica.register(system.session)
-    # A front that is told of nobody else finds its leader and serves.
+    # A front with the relay as its only seed finds the leader and serves.
     processes.seeds["front-9"] = [relay]
     processes.start("front-9")
     await system.wait_ready(front=9)
@@ -276,12 +276,12 @@
     }
 
 
-async def test_connections_that_fall_silent_for_good_are_given_up(system):
+async def test_unresponsive_pooled_connections_are_replaced(system):
     for _ in range(8):
         assert (await system.call("idempotent"))[0] == 200
     for replica in system.replicas:
         replica.muted = set(replica.transports)
-    # Each silent one in a front's pool costs a request at most one patience.
+    # Each dead pooled connection costs a request at most one timeout.
     for _ in range(4):
         assert (await system.call("idempotent"))[0] == 200
     assert all(replica.transports - replica.muted for replica in system.replicas)
--- a/tests/functional/test_limited_replicas.py
+++ b/tests/functional/test_limited_replicas.py
@@ -1,12 +1,7 @@
-"""Replicas that say in their answers how many requests a second they take.
-
-Seen: replicas that had named a limit of 1 and 1.2 a second got 12 and 15 requests in
-4 s, from fronts that had passed on such answers; 3 to 4 a second before they spoke, as
-many after it. No process read the word: the fullest replica that had room went on being
-the first choice. Proved by one play on the code as it was: the leader placed all of
-them at once, none was a retry, no front alone sent more than 5 in 4 s, and the rate did
-not change when the limit was named. Had each front heeded it by itself, eight of them
-would have sent eight times as much: the word is about the sum, and nothing held a sum.
+"""Rate limits that replicas name in responses, with processes and two fronts.
+
+Guards against fronts that ignore the limit, or that each send up to the limit: it is
+for the requests of all fronts together.
 """
 
 import asyncio
@@ -18,16 +13,16 @@
 from tests.lib.gateway_system import run_system
 from tests.lib.platform_replicas import Replica
 
-WINDOW = 4.0
-LEARNING = 1.0
-"""Seconds after a replica first named its limit in which fronts learn of it."""
+WINDOW_S = 4.0
+LEARNING_S = 1.0
+"""Time after a replica first named its limit in which fronts learn of it."""
 
 CALLERS = 24
-"""Each calls again as soon as it is answered: far more than any limit here."""
+"""Each calls again after each response: far more load than any limit here."""
 
 
 class LimitedReplica(Replica):
-    """Names a limit for as long as the test says, and keeps when requests came."""
+    """Names a limit while the test sets one, and records the times of requests."""
 
     def __init__(self, number, service, controls):
         super().__init__(number, service, controls)
@@ -46,10 +41,10 @@
         return answer
 
     def count_most(self, since):
-        """Most requests that came in one window that begins after ``since``."""
+        """Return the most requests in one window that begins after ``since``."""
         times = [at for at in self.arrived if at >= since]
         return max(
-            (sum(at <= one < at + WINDOW for one in times) for at in times), default=0
+            (sum(at <= one < at + WINDOW_S for one in times) for at in times), default=0
         )
 
 
@@ -65,26 +60,26 @@
 
 
 def compute_allowed(limit):
-    """What is tolerated of requests in one window."""
-    return 1.5 * limit * WINDOW + 5
+    """Return the tolerated number of requests in one window."""
+    return 1.5 * limit * WINDOW_S + 5
 
 
 @pytest.mark.parametrize("limit", [1.0, 4.0])
-async def test_all_fronts_together_keep_to_what_a_replica_takes(system, limit):
+async def test_all_fronts_together_respect_a_rate_limit(system, limit):
     limited, *others = system.replicas
     load = build_load(system)
     await load.run(0.5)
     limited.limit = limit
     began = time.monotonic()
     await load.run(8.0)
-    assert limited.count_most(began + LEARNING) <= compute_allowed(limit)
-    # It goes on being used, and nobody is refused while others have room.
-    assert len([at for at in limited.arrived if at >= began + LEARNING]) >= 3
+    assert limited.count_most(began + LEARNING_S) <= compute_allowed(limit)
+    # It stays in use, and no caller is refused while other replicas are free.
+    assert len([at for at in limited.arrived if at >= began + LEARNING_S]) >= 3
     assert set(load.statuses) == {200}
     assert all(len(other.arrived) > 100 for other in others)
 
 
-async def test_replica_without_need_is_used_again_at_once(system):
+async def test_replica_is_used_again_at_once_after_its_limit_ends(system):
     limited = system.replicas[0]
     load = build_load(system)
     limited.limit = 2.0
@@ -96,25 +91,25 @@
     assert len(limited.arrived) - before > 20
 
 
-async def test_service_whose_replicas_are_all_in_need_is_used_as_far_as_it_goes(system):
+async def test_load_above_the_limits_of_all_replicas_uses_them_up(system):
     limit = 5.0
     for replica in system.replicas:
         replica.limit = limit
     began = time.monotonic()
     load = build_load(system)
     await load.run(9.0)
-    since = began + LEARNING
+    since = began + LEARNING_S
     for replica in system.replicas:
         assert replica.count_most(since) <= compute_allowed(limit)
     served = sum(at >= since for r in system.replicas for at in r.arrived)
     assert served >= 0.9 * 3 * limit * (time.monotonic() - since - 0.5)
     assert set(load.statuses) == {200, 503}
-    # What is refused was not sent, and callers are told when there is room.
+    # Refused requests were not sent, and callers learn when to retry.
     assert all(b'"ran":"no"' in body for body in load.refusals)
     assert all(0.0 < pause <= 5.0 for pause in load.retry_afters)
 
 
-async def test_limit_holds_over_restarts_of_the_leader_and_of_a_front(system):
+async def test_limit_is_respected_over_restarts_of_leader_and_front(system):
     limited = system.replicas[0]
     load = build_load(system)
     limited.limit = 1.0
@@ -125,17 +120,17 @@
         system.processes.kill(name)
         system.processes.start(name)
 
-    # Callers stay at the other front while the first one starts again.
+    # Callers stay at the other front while the first one restarts.
     await restart(system.processes.find_leader())
     await load.run(4.0)
     await restart("front-0")
     await system.wait_ready(front=0, seconds=20.0)
     await load.run(4.0)
-    assert limited.count_most(began + LEARNING) <= compute_allowed(1.0)
+    assert limited.count_most(began + LEARNING_S) <= compute_allowed(1.0)
     assert not {502, 504} & set(load.statuses)
 
 
-def test_counting_windows():
+def test_count_most_in_a_window():
     replica = LimitedReplica(1, "svc", [])
     replica.arrived = [0.0, 1.0, 3.9, 4.0, 8.5]
     assert replica.count_most(0.0) == 3
--- a/tests/lib/front.py
+++ b/tests/lib/front.py
@@ -1,4 +1,4 @@
-"""One front in this process, with upstreams it was told of and no control instance."""
+"""One front in this process, with given upstreams and no control instance."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 class Front:
-    """A front that serves callers; the test tells it of upstreams."""
+    """A front that serves callers; the test registers its upstreams."""
 
     def __init__(self, runtime, url, session):
         self.runtime = runtime
@@ -47,7 +47,7 @@
 async def serve(handler):
     """Serve a handler on a loopback port; yield the address."""
     server = web.Server(handler, handler_cancellation=True)
-    # Some handlers never answer: the library would wait a minute for them.
+    # Some handlers never respond: the library would wait a minute for them.
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -79,7 +79,7 @@
 
 @contextlib.contextmanager
 def drop_connections():
-    """An address whose packets go nowhere: its queue of new connections is full."""
+    """Yield an address that drops new connections: its accept queue is full."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -94,14 +94,14 @@
 
 
 def find_closed_port():
-    """An address at which connections are refused."""
+    """Return an address at which connections are refused."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 async def answer_sealed(request):
-    """What a replica answers to a plain request."""
+    """Respond as a replica of a plain service, with its seal header."""
     await request.read()
     headers = {"X-Request-Id": request.headers["X-Request-Id"], "X-Server-Seal": "s"}
     return web.Response(headers=headers, body=b"done")
--- a/tests/lib/gateway_system.py
+++ b/tests/lib/gateway_system.py
@@ -1,4 +1,4 @@
-"""Gateway processes, stand-in replicas and a client, ready to serve."""
+"""Gateway processes, stand-in replicas and a client for functional tests."""
 
 import asyncio
 import contextlib
@@ -50,7 +50,7 @@
                         if answer.status in (200, 400):
                             return answer.status
             await asyncio.sleep(0.1)
-        raise AssertionError("nobody took the configuration")
+        raise AssertionError("no control instance accepted the configuration")
 
     async def wait_ready(self, is_ready=True, front=0, seconds=10.0):
         url = f"http://{self.processes.find_readiness(front)}/ready"
@@ -64,7 +64,7 @@
         raise AssertionError(f"front {front} did not become ready={is_ready}")
 
     async def read_when_served(self, url, seconds=20.0):
-        """The body of the first 200 of a process that may still be starting."""
+        """Return the body of the first 200 of a process that may still be starting."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             with contextlib.suppress(aiohttp.ClientConnectorError):
@@ -72,7 +72,7 @@
                     if answer.status == 200:
                         return await answer.read()
             await asyncio.sleep(0.05)
-        raise AssertionError("the process did not come back")
+        raise AssertionError("the process did not restart in time")
 
     async def wait_served(self, seconds=10.0):
         end = time.monotonic() + seconds
@@ -81,7 +81,7 @@
             if status == 200:
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError("nothing is served")
+        raise AssertionError("no request was served in time")
 
 
 @contextlib.asynccontextmanager
@@ -104,7 +104,7 @@
             running = run_replica(number, SERVICE, controls, session, build_replica)
             system.replicas.append(await stack.enter_async_context(running))
         await system.wait_served()
-        # Retries may use the fixed part of their budget from now on.
+        # From now on retries may use the fixed allowance of their budget.
         await asyncio.sleep(SETTLE_TIME_S)
         for replica in system.replicas:
             replica.ran.clear()
--- a/tests/unit/gateway/test_backoff.py
+++ b/tests/unit/gateway/test_backoff.py
@@ -1,4 +1,4 @@
-"""What a front learns of pauses that upstreams ask for, on each path that sends."""
+"""Backoff of upstreams (``Retry-After``) on each path by which a front sends."""
 
 import asyncio
 import time
@@ -28,7 +28,7 @@
 OTHER = UpstreamId("i-2")
 
 
-def test_pause_ends_by_time_only():
+def test_backoff_ends_by_time_only():
     backoffs = UpstreamBackoffs()
     backoffs.record(ONE, 3.0, 10.0)
     assert not backoffs.may_send(ONE, 12.9)
@@ -38,7 +38,7 @@
     assert backoffs.list_in_backoff(13.0) == []
 
 
-def test_shorter_pause_takes_back_no_longer_one():
+def test_shorter_backoff_does_not_replace_a_longer_one():
     backoffs = UpstreamBackoffs()
     backoffs.record(ONE, 3.0, 10.0)
     backoffs.record(ONE, 0.5, 11.0)
@@ -47,7 +47,7 @@
     assert backoffs.compute_wait(ONE, 12.0) == 3.0
 
 
-def test_soonest_of_several():
+def test_shortest_wait_of_several_upstreams():
     backoffs = UpstreamBackoffs()
     backoffs.record(ONE, 3.0, 10.0)
     backoffs.record(OTHER, 1.0, 10.0)
@@ -55,13 +55,13 @@
     assert backoffs.compute_shortest_wait([ONE, UpstreamId("i-3")], 10.0) == 0.0
 
 
-def test_pause_named_by_mistake_ends():
+def test_excessive_backoff_is_bounded():
     backoffs = UpstreamBackoffs()
     backoffs.record(ONE, 999_999_999.0, 0.0)
     assert backoffs.may_send(ONE, MAX_BACKOFF_S)
 
 
-def test_pauses_that_are_over_are_forgotten():
+def test_ended_backoffs_expire():
     backoffs = UpstreamBackoffs()
     backoffs.record(ONE, 3.0, 10.0)
     backoffs.record(OTHER, 9.0, 10.0)
@@ -69,25 +69,25 @@
     assert list(backoffs._until) == [OTHER]
 
 
-async def test_what_a_front_heard_is_in_its_log():
-    async def refuse(request):
+async def test_backoff_and_draining_are_logged():
+    async def reject(request):
         name = request.headers["X-Request-Id"]
         headers = build_answer_headers(
             name, "s", has_not_run=True, backoff=1.5, is_draining=True
         )
         return web.Response(status=503, headers=headers)
 
-    async with run_front(build_routing()) as front, serve(refuse) as address:
+    async with run_front(build_routing()) as front, serve(reject) as address:
         upstream = front.add(1, address).upstream
         with capture_logs() as lines:
             await front.call()
-    heard = [line for line in lines if line["event"] == "backoff heard"]
-    assert [(one["upstream"], one["seconds"]) for one in heard] == [(upstream, 1.5)]
+    logged = [line for line in lines if line["event"] == "backoff heard"]
+    assert [(one["upstream"], one["seconds"]) for one in logged] == [(upstream, 1.5)]
     assert "draining heard" in [line["event"] for line in lines]
 
 
-class TiredUpstream:
-    """Turns away whatever comes and asks for a pause, until a moment."""
+class BackoffUpstream:
+    """Rejects every request and asks for a backoff until a given time."""
 
     def __init__(self, seconds):
         self.until = time.monotonic() + seconds
@@ -114,49 +114,49 @@
     )
 
 
-async def test_request_waits_for_a_pause_that_is_over_soon():
-    tired = TiredUpstream(0.1)
-    async with run_front(build_routing()) as front, serve(tired.answer) as address:
+async def test_request_waits_for_a_short_backoff():
+    rejecting = BackoffUpstream(0.1)
+    async with run_front(build_routing()) as front, serve(rejecting.answer) as address:
         front.add(1, address)
         first = await front.call()
         second = await front.call()
-    # The first was sent to the only one there is; the second was in time for another.
+    # The first was rejected by the only upstream; the second waited for its backoff.
     assert (first.status, second.status) == (503, 200)
-    assert len(tired.arrived) == 2
+    assert len(rejecting.arrived) == 2
 
 
-async def test_request_that_would_wait_too_long_is_refused_at_once():
-    tired = TiredUpstream(5.0)
-    async with run_front(build_routing()) as front, serve(tired.answer) as address:
+async def test_request_during_a_long_backoff_is_refused_at_once():
+    rejecting = BackoffUpstream(5.0)
+    async with run_front(build_routing()) as front, serve(rejecting.answer) as address:
         front.add(1, address)
         first = await front.call()
         began = time.monotonic()
         second = await front.call()
         assert time.monotonic() - began < 0.1
-    assert len(tired.arrived) == 1
+    assert len(rejecting.arrived) == 1
     for answer in (first, second):
         assert answer.status == 503
         assert 4.0 < float(answer.headers["Retry-After"]) <= 5.0 + RETRY_AFTER_SPREAD_S
 
 
-async def test_callers_that_are_refused_together_come_back_apart():
-    tired = TiredUpstream(5.0)
-    async with run_front(build_routing()) as front, serve(tired.answer) as address:
+async def test_retry_after_of_refused_callers_is_spread():
+    rejecting = BackoffUpstream(5.0)
+    async with run_front(build_routing()) as front, serve(rejecting.answer) as address:
         front.add(1, address)
         await front.call()
-        answers = [await front.call() for _ in range(30)]
-    pauses = [float(answer.headers["Retry-After"]) for answer in answers]
-    # None before the pause is over, and not all in one moment.
-    assert min(pauses) > tired.until - time.monotonic()
-    assert max(pauses) - min(pauses) > RETRY_AFTER_SPREAD_S / 2
+        responses = [await front.call() for _ in range(30)]
+    retry_afters = [float(answer.headers["Retry-After"]) for answer in responses]
+    # None before the backoff ends, and not all at once.
+    assert min(retry_afters) > rejecting.until - time.monotonic()
+    assert max(retry_afters) - min(retry_afters) > RETRY_AFTER_SPREAD_S / 2
 
 
 @pytest.mark.parametrize("has_engines", [False, True])
-async def test_resumed_stream_keeps_the_pause(has_engines):
-    tired = TiredUpstream(5.0)
+async def test_resumed_stream_respects_the_backoff(has_engines):
+    rejecting = BackoffUpstream(5.0)
     resumed = []
 
-    async def break_off(request):
+    async def disconnect(request):
         resumed.append(request.headers.get("Last-Event-Id"))
         name = request.headers["X-Request-Id"]
         answer = web.StreamResponse(headers=build_answer_headers(name, "s"))
@@ -174,52 +174,52 @@
     prompt = 5_000 if has_engines else None
     async with (
         run_front(routing) as front,
-        serve(tired.answer) as address,
-        serve(break_off) as other,
+        serve(rejecting.answer) as address,
+        serve(disconnect) as other,
     ):
         front.add(1, address)
-        while not tired.arrived:
+        while not rejecting.arrived:
             await front.call(prompt=prompt)
         front.add(2, other)
         with pytest.raises(Exception, match="payload|Payload"):
             async with front.call(prompt=prompt) as answer:
                 await answer.read()
-    assert len(tired.arrived) == 1
+    assert len(rejecting.arrived) == 1
     assert resumed
 
 
-def test_pause_holds_for_the_front_that_was_asked_alone():
+def test_backoff_applies_only_to_the_rejected_front():
     deployment = build_deployment(2, 18, has_engines=True)
-    asked, other = deployment.fronts
-    closed = deployment.endpoints[0].upstream
-    asked.backoffs.record(closed, 3.0, deployment.now)
+    rejected, other = deployment.fronts
+    in_backoff = deployment.endpoints[0].upstream
+    rejected.backoffs.record(in_backoff, 3.0, deployment.now)
     for number in range(200):
-        placed = deployment.place(asked, build_quick(number))
-        assert closed not in placed.upstreams
-    # Read by seventeen of eighteen together.
-    placed = deployment.place(asked, build_work(900, 300_000))
+        placed = deployment.place(rejected, build_quick(number))
+        assert in_backoff not in placed.upstreams
+    # The prefill group has up to seventeen of the eighteen replicas.
+    placed = deployment.place(rejected, build_work(900, 300_000))
     assert len(placed.upstreams) > 10
-    assert closed not in placed.upstreams
+    assert in_backoff not in placed.upstreams
     placed = deployment.place(other, build_work(901, 300_000))
-    assert closed in placed.upstreams
+    assert in_backoff in placed.upstreams
     deployment.run(3.1)
     work = build_quick(902)
-    assert asked.exclude_in_backoff(work, deployment.now) == work
+    assert rejected.exclude_in_backoff(work, deployment.now) == work
 
 
-def test_front_alone_keeps_the_pause():
+def test_uncoordinated_front_respects_the_backoff():
     deployment = build_deployment(1, 3, has_engines=True)
     (front,) = deployment.fronts
     deployment.lose_leader()
     one, another, _ = (endpoint.upstream for endpoint in deployment.endpoints)
-    for closed in (one, another):
-        front.backoffs.record(closed, 3.0, deployment.now)
+    for in_backoff in (one, another):
+        front.backoffs.record(in_backoff, 3.0, deployment.now)
     for number in range(20):
         placed = deployment.place(front, build_quick(number))
         assert not {one, another} & set(placed.upstreams)
 
 
-def test_prompt_that_waits_for_its_turn_loses_who_asks_for_a_pause():
+def test_waiting_placement_drops_helpers_in_backoff():
     deployment = build_deployment(1, 18, has_engines=True)
     (front,) = deployment.fronts
     placed = deployment.place(front, build_work(1, 300_000))
@@ -229,11 +229,11 @@
     assert front.list_unusable(placed, deployment.now) == {helper}
 
 
-def test_next_incarnation_owes_nothing_to_the_pause_of_the_last():
+def test_backoff_ends_with_the_incarnation():
     deployment = build_deployment(1, 1, has_engines=True)
     (front,) = deployment.fronts
-    closed = deployment.endpoints[0].upstream
-    front.backoffs.record(closed, 3.0, deployment.now)
+    in_backoff = deployment.endpoints[0].upstream
+    front.backoffs.record(in_backoff, 3.0, deployment.now)
     assert isinstance(deployment.place(front, build_quick(1)), Declined)
     assert front.compute_backoff(build_quick(1).service, (), deployment.now) == 3.0
-    assert front.backoffs.may_send(UpstreamId(f"{closed}/2"), deployment.now)
+    assert front.backoffs.may_send(UpstreamId(f"{in_backoff}/2"), deployment.now)
--- a/tests/unit/gateway/test_reservations.py
+++ b/tests/unit/gateway/test_reservations.py
@@ -1,4 +1,4 @@
-"""Memory that is set aside on helpers is renewed while needed, and given back."""
+"""Reservations of KV cache memory on prefill helpers, their renewal and release."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class Runtime:
-    """What reservations need of a front."""
+    """The part of a front that reservations use."""
 
     def __init__(self, sessions):
         self.sessions = sessions
@@ -47,8 +47,8 @@
 
 def build_placement(replicas, tokens):
     helpers = tuple(
-        Helper(replica.id, replica.address, held)
-        for replica, held in zip(replicas, tokens, strict=True)
+        Helper(replica.id, replica.address, tokens_held)
+        for replica, tokens_held in zip(replicas, tokens, strict=True)
     )
     return Placement("i-first", "127.0.0.1:1", helpers, 1.0)
 
@@ -57,7 +57,7 @@
     return [order["Op"] for order in replica.orders]
 
 
-async def test_helpers_that_hold_memory_reserve_and_give_back():
+async def test_memory_is_reserved_and_released():
     async with run_helpers(2) as (replicas, runtime):
         placement = build_placement(replicas, (50_000, 0))
         work = build_work(1, 500_000)
@@ -74,7 +74,7 @@
         assert replicas[1].orders == []
 
 
-async def test_memory_is_renewed_while_the_request_runs(monkeypatch):
+async def test_reservation_is_renewed_while_the_request_runs(monkeypatch):
     monkeypatch.setattr(reservations, "RENEW_INTERVAL_S", 0.05)
     async with run_helpers(1) as (replicas, runtime):
         placement = build_placement(replicas, (50_000,))
@@ -89,7 +89,7 @@
         assert len(replicas[0].orders) == count
 
 
-async def test_memory_of_a_cancelled_request_is_given_back():
+async def test_memory_of_a_cancelled_request_is_released():
     async with run_helpers(1) as (replicas, runtime):
         placement = build_placement(replicas, (50_000,))
 
@@ -112,7 +112,7 @@
         (replica,) = replicas
         lost = []
 
-        async def lose_first(request):
+        async def drop_first_release(request):
             order = await request.json()
             if order["Op"] == "release" and not lost:
                 lost.append(order)
@@ -121,8 +121,8 @@
             replica.orders.append(order)
             return web.json_response({})
 
-        replica.handle = lose_first
-        runner = web.ServerRunner(web.Server(lose_first))
+        replica.handle = drop_first_release
+        runner = web.ServerRunner(web.Server(drop_first_release))
         await runner.setup()
         site = web.TCPSite(runner, "127.0.0.1", 0)
         await site.start()
@@ -136,8 +136,8 @@
         assert lost and list_orders(replica) == ["reserve", "release"]
 
 
-def test_nobody_s_reservation_outlasts_what_the_platform_allows():
-    # A front may die, or an order be carried out late: the hold alone must end it.
+def test_reservation_expires_within_the_platform_limit():
+    # A front may crash or an order arrive late: a reservation must expire by itself.
     assert RESERVATION_LIFE_S < 4.0
     assert (
         2 * reservations.RENEW_INTERVAL_S + reservations.ORDER_TIMEOUT_S
--- a/tests/unit/gateway/test_response_reading.py
+++ b/tests/unit/gateway/test_response_reading.py
@@ -1,4 +1,4 @@
-"""Silence of an upstream, and pauses of this process that look like it."""
+"""Timeouts of upstreams, and stalls of this process that look like them."""
 
 import asyncio
 import time
@@ -14,11 +14,11 @@
     wait_for_task,
 )
 
-PATIENCE = 0.05
+TIMEOUT_S = 0.05
 
 
 class Protocol(asyncio.Protocol):
-    """What aiohttp's reader wants of a protocol."""
+    """The part of a protocol that the stream reader of aiohttp uses."""
 
     connected = True
     _reading_paused = False
@@ -35,25 +35,25 @@
     return aiohttp.StreamReader(Protocol(), limit=2**16, loop=loop)
 
 
-async def test_silence_is_seen():
+async def test_timeout_without_bytes_raises():
     with pytest.raises(UnresponsiveError):
-        await read_available(build_content(), PATIENCE)
+        await read_available(build_content(), TIMEOUT_S)
 
 
-async def test_silence_of_a_task_is_seen():
+async def test_unfinished_task_times_out():
     task = asyncio.ensure_future(asyncio.sleep(10.0))
-    assert not await wait_for_task(task, PATIENCE)
+    assert not await wait_for_task(task, TIMEOUT_S)
     task.cancel()
 
 
-async def stand_still(writer):
-    """The other end writes, then this process does not run for a while."""
+async def stall_after_write(writer):
+    """Write at the other end, then block this process for a while."""
     writer.write(b"there")
     await asyncio.sleep(0)
-    time.sleep(PATIENCE + 2 * MIN_STALL_S)
+    time.sleep(TIMEOUT_S + 2 * MIN_STALL_S)
 
 
-async def test_bytes_that_came_while_the_process_stood_still_are_read():
+async def test_bytes_received_during_a_stall_are_read():
     content = build_content()
 
     async def serve(reader, writer):
@@ -64,38 +64,38 @@
     port = server.sockets[0].getsockname()[1]
     _, writer = await asyncio.open_connection("127.0.0.1", port)
     await asyncio.sleep(0.01)
-    reading = asyncio.create_task(read_available(content, PATIENCE))
-    await stand_still(writer)
+    reading = asyncio.create_task(read_available(content, TIMEOUT_S))
+    await stall_after_write(writer)
     assert await reading == b"there"
     writer.close()
     server.close()
 
 
-async def test_task_that_could_not_end_while_the_process_stood_still_counts():
+async def test_task_that_ends_after_a_stall_counts():
     server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     task = asyncio.ensure_future(reader.read(1))
-    waiting = asyncio.create_task(wait_for_task(task, PATIENCE))
-    await stand_still(writer)
+    waiting = asyncio.create_task(wait_for_task(task, TIMEOUT_S))
+    await stall_after_write(writer)
     assert await waiting
     writer.close()
     server.close()
 
 
-async def test_silence_after_a_pause_is_seen_soon():
+async def test_timeout_after_a_stall_comes_soon():
     content = build_content()
-    reading = asyncio.create_task(read_available(content, PATIENCE))
+    reading = asyncio.create_task(read_available(content, TIMEOUT_S))
     await asyncio.sleep(0)
-    time.sleep(PATIENCE + 2 * MIN_STALL_S)
+    time.sleep(TIMEOUT_S + 2 * MIN_STALL_S)
     began = time.monotonic()
     with pytest.raises(UnresponsiveError):
         await reading
     assert time.monotonic() - began < 1.0
 
 
-class Answer:
-    """An answer's head, with a connection that somebody must close."""
+class FakeResponse:
+    """A response whose connection must be closed."""
 
     def __init__(self):
         self.is_closed = False
@@ -104,48 +104,48 @@
         self.is_closed = True
 
 
-async def take(sending):
+async def fetch(sending):
     with cancel_on_failure(sending) as task:
         await wait_for_task(task, None)
         return task.result()
 
 
 @pytest.mark.parametrize("ticks_before", [0, 1, 2, 3])
-async def test_answer_that_comes_as_its_caller_leaves_is_closed(ticks_before):
-    answer = Answer()
+async def test_response_at_the_moment_of_a_disconnect_is_closed(ticks_before):
+    response = FakeResponse()
     head = asyncio.Event()
 
     async def send():
         await head.wait()
-        return answer
+        return response
 
-    caller = asyncio.create_task(take(send()))
+    request = asyncio.create_task(fetch(send()))
     await asyncio.sleep(0.01)
     head.set()
     for _ in range(ticks_before):
         await asyncio.sleep(0)
-    if caller.done():
-        # It was handed over: whoever has it closes it.
-        assert await caller is answer
+    if request.done():
+        # It was returned, and its new owner closes it.
+        assert await request is response
         return
-    caller.cancel()
+    request.cancel()
     with pytest.raises(asyncio.CancelledError):
-        await caller
+        await request
     await asyncio.sleep(0.01)
-    assert answer.is_closed
+    assert response.is_closed
 
 
-async def test_answer_that_is_taken_stays_open():
-    answer = Answer()
+async def test_returned_response_stays_open():
+    response = FakeResponse()
 
     async def send():
-        return answer
+        return response
 
-    assert await take(send()) is answer
-    assert not answer.is_closed
+    assert await fetch(send()) is response
+    assert not response.is_closed
 
 
-async def test_silent_request_is_cancelled():
+async def test_request_without_a_response_is_cancelled():
     cancelled = []
 
     async def send():
@@ -156,7 +156,7 @@
             raise
 
     with pytest.raises(UnresponsiveError), cancel_on_failure(send()) as task:
-        if not await wait_for_task(task, PATIENCE):
+        if not await wait_for_task(task, TIMEOUT_S):
             raise UnresponsiveError
     await asyncio.sleep(0.01)
     assert cancelled
--- a/tests/unit/gateway/test_upstream_client.py
+++ b/tests/unit/gateway/test_upstream_client.py
@@ -1,4 +1,4 @@
-"""Bytes that belong to no request, and answers that end too early."""
+"""Unsolicited and truncated responses on upstream connections."""
 
 import asyncio
 import contextlib
@@ -10,19 +10,19 @@
 
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SECOND = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 
 
 @contextlib.asynccontextmanager
-async def run_server(answer):
-    """A server whose connections are handled by ``answer(reader, writer, number)``."""
+async def run_server(respond):
+    """A server whose connections are handled by ``respond(reader, writer, number)``."""
     connections = []
 
     async def handle(reader, writer):
         connections.append(writer)
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-            await answer(reader, writer, len(connections))
+            await respond(reader, writer, len(connections))
         writer.close()
 
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
@@ -35,21 +35,21 @@
 
 async def fetch(sessions, url, *, may_pool=True):
     session = sessions.choose(may_pool=may_pool)
-    async with session.get(url) as answer:
-        return await answer.read()
+    async with session.get(url) as response:
+        return await response.read()
 
 
-async def test_late_second_answer_is_not_the_next_request_s():
-    async def answer(reader, writer, number):
+async def test_late_second_response_is_not_used_for_the_next_request():
+    async def respond(reader, writer, number):
         while True:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(WHOLE)
+            writer.write(COMPLETE)
             await asyncio.sleep(0.05)
             if number == 1:
                 writer.write(SECOND)
                 await asyncio.sleep(0.05)
 
-    async with run_server(answer) as (url, connections):
+    async with run_server(respond) as (url, connections):
         async with open_upstream_sessions() as sessions:
             assert await fetch(sessions, url) == b"ok"
             await asyncio.sleep(0.2)
@@ -57,72 +57,72 @@
             assert len(connections) == 2
 
 
-async def test_second_answer_in_the_same_segment_is_dropped():
-    async def answer(reader, writer, number):
+async def test_second_response_in_the_same_segment_is_dropped():
+    async def respond(reader, writer, number):
         while True:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(WHOLE + (SECOND if number == 1 else b""))
+            writer.write(COMPLETE + (SECOND if number == 1 else b""))
 
-    async with run_server(answer) as (url, connections):
+    async with run_server(respond) as (url, connections):
         async with open_upstream_sessions() as sessions:
             assert await fetch(sessions, url) == b"ok"
             assert await fetch(sessions, url) == b"ok"
             assert len(connections) == 2
 
 
-async def test_answer_without_length_that_is_reset_is_not_whole():
-    async def answer(reader, writer, number):
+async def test_reset_response_without_length_is_incomplete():
+    async def respond(reader, writer, number):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf")
         await writer.drain()
         await asyncio.sleep(0.05)
-        # Without lingering, closing sends a reset instead of an end.
+        # With a linger time of 0, closing sends a reset instead of a FIN.
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with run_server(answer) as (url, _):
+    async with run_server(respond) as (url, _):
         async with open_upstream_sessions() as sessions:
             with pytest.raises(aiohttp.ClientError):
                 await fetch(sessions, url)
 
 
-async def test_answer_without_length_that_is_closed_is_whole():
-    async def answer(reader, writer, number):
+async def test_closed_response_without_length_is_complete():
+    async def respond(reader, writer, number):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nwhole")
         await writer.drain()
 
-    async with run_server(answer) as (url, _):
+    async with run_server(respond) as (url, _):
         async with open_upstream_sessions() as sessions:
             assert await fetch(sessions, url) == b"whole"
 
 
-async def test_request_not_to_be_repeated_never_shares_a_connection():
-    async def answer(reader, writer, number):
+async def test_unpooled_request_gets_its_own_connection():
+    async def respond(reader, writer, number):
         while True:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(WHOLE)
+            writer.write(COMPLETE)
 
-    async with run_server(answer) as (url, connections):
+    async with run_server(respond) as (url, connections):
         async with open_upstream_sessions() as sessions:
             for _ in range(3):
                 assert await fetch(sessions, url, may_pool=False) == b"ok"
             assert len(connections) == 3
 
 
-async def test_library_repeats_nothing_by_itself():
+async def test_http_library_does_not_retry():
     seen = []
 
-    async def answer(reader, writer, number):
+    async def respond(reader, writer, number):
         await reader.readuntil(b"\r\n\r\n")
         seen.append(number)
         if number == 1:
-            writer.write(WHOLE)
+            writer.write(COMPLETE)
             await reader.readuntil(b"\r\n\r\n")
             seen.append(number)
 
-    async with run_server(answer) as (url, _):
+    async with run_server(respond) as (url, _):
         async with open_upstream_sessions() as sessions:
             assert await fetch(sessions, url) == b"ok"
             with pytest.raises(aiohttp.ClientError):
