--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -10,7 +10,7 @@
 from scalebend.core.crash_ledger import CrashLedger
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.engine_scheduler import (
-    LONGEST_PART_ALONE,
+    UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
 from scalebend.core.gateway.front_jobs import FrontJobs
@@ -37,7 +37,7 @@
     Subscribe,
     UncoordinatedSends,
 )
-from scalebend.core.gateway.placement_choice import NO_REPLICA_PAUSE
+from scalebend.core.gateway.placement_choice import NO_REPLICA_RETRY_S
 from scalebend.core.gateway.retry_window import RetryWindow
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_store import RoutingUpdate, apply_update
@@ -112,7 +112,9 @@
         self.lease = KeyLease(
             bounds.key_revocation, is_strict=bounds.is_revocation_strict
         )
-        self.directory = EndpointDirectory(ENDPOINT_TIMEOUT_S, heard_again=1)
+        self.directory = EndpointDirectory(
+            ENDPOINT_TIMEOUT_S, registrations_to_regain_address=1
+        )
         self.balancer = ServiceBalancer()
         self.crashes = CrashLedger()
         self.limits = FrontLimits(settings.instance, now)
@@ -124,7 +126,7 @@
         self.retries = RetryWindow(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
-        self.scheduler = EngineScheduler(settings.instance, LONGEST_PART_ALONE)
+        self.scheduler = EngineScheduler(settings.instance, UNCOORDINATED_MAX_PART_S)
         self._seeds = {InstanceId(seed) for seed in settings.seeds}
         self._announced: set[InstanceId] = set()
         self.leader: InstanceId | None = None
@@ -290,7 +292,7 @@
         is_known = status.leader == self.leader and status.term == self._term
         self._term = status.term
         if status.busy:
-            self.scheduler.note_busy(status.busy, now)
+            self.scheduler.record_busy_replicas(status.busy, now)
         if is_known or status.leader not in self._linked:
             return []
         logger.info(
@@ -308,7 +310,7 @@
             ToControl(status.leader, Subscribe(self.table.routing.version)),
             ToControl(status.leader, OpenJobs(self._jobs.list_open(now))),
             ToControl(status.leader, self._build_lease_request(now)),
-            *self._report_crashes(self.crashes.list_to_tell(now)),
+            *self._report_crashes(self.crashes.list_to_publish(now)),
         ]
 
     def _build_lease_request(self, now: float) -> LeaseRequest:
@@ -362,7 +364,7 @@
         """Place a job without the leader, from the state of this front."""
         profile = self.table.find_engine(work.service)
         if profile is None:
-            return Declined(NO_REPLICA_PAUSE)
+            return Declined(NO_REPLICA_RETRY_S)
         endpoints = self.directory.list_usable(work.service)
         return self.limits.placement.place(
             self.scheduler, work, endpoints, profile, now
@@ -424,7 +426,7 @@
 
     def record_stage(self, stage: JobStage, now: float) -> list[ToControl]:
         """Record the first token or the end of a job."""
-        self._jobs.note_stage(stage, now)
+        self._jobs.record_stage(stage, now)
         return self._send_to_leader(JobStages([stage]))
 
     def record_outcome(self, upstream: UpstreamId, *, has_failed: bool) -> None:
@@ -454,7 +456,7 @@
 
         Return ``None`` if it was known.
         """
-        if self.directory.note_draining(upstream) is None:
+        if self.directory.record_draining(upstream) is None:
             return None
         self._draining[upstream] = None
         return self._report_draining([upstream])
@@ -468,12 +470,12 @@
         self, fingerprint: Fingerprint, upstream: UpstreamId, now: float
     ) -> list[ToControl]:
         """Record that an upstream crashed or disconnected during a request."""
-        record = self.crashes.note_lost(fingerprint, upstream, now)
+        record = self.crashes.record_crash(fingerprint, upstream, now)
         return self._report_crashes([record]) if record is not None else []
 
     def record_completed(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
         """Record that an upstream gave a complete response to the request."""
-        if not self.crashes.note_answered(fingerprint, now):
+        if not self.crashes.record_response(fingerprint, now):
             return []
         return self._send_to_leader(CrashUpdates([], [fingerprint]))
 
@@ -491,7 +493,7 @@
         ended = [
             upstream
             for upstream in unanswered
-            if upstream in superseded or self.directory.has_ended(upstream)
+            if upstream in superseded or self.directory.is_lost(upstream)
         ]
         actions = []
         for upstream in ended:
@@ -507,22 +509,22 @@
         self.balancer.set_ejected(upstreams)
         for upstream in upstreams:
             # For uncoordinated placement, should the leader be lost.
-            self.scheduler.note_failure(upstream, now)
+            self.scheduler.record_failure(upstream, now)
 
     def record_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """Record and report a replica that is unreachable or unresponsive."""
-        self.scheduler.note_failure(upstream, now)
+        self.scheduler.record_failure(upstream, now)
         return self._send_to_leader(ReplicaFailures([upstream]))
 
     def record_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """Record and report that an engine rejected a request without running it."""
-        self.scheduler.note_rejection(upstream, now)
+        self.scheduler.record_rejection(upstream, now)
         return self._send_to_leader(RejectionReport(upstream))
 
     def record_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
         """Record and report how slow replicas say they are."""
         for pace in paces:
-            self.scheduler.note_pace(pace, now)
+            self.scheduler.record_pace(pace, now)
         return self._send_to_leader(ReplicaPaces(paces)) if paces else []
 
     def _send_to_leader(self, message: LinkMessage) -> list[ToControl]:
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -158,7 +158,9 @@
     def _compute_quarantine(self) -> float:
         """Return the seconds until the quarantine of the request ends, or 0."""
         runtime = self._runtime
-        return runtime.instance.crashes.compute_hold(self._fingerprint, runtime.now())
+        return runtime.instance.crashes.compute_quarantine(
+            self._fingerprint, runtime.now()
+        )
 
     def _compute_backoff(self) -> float:
         """Return the seconds until an upstream of the service leaves backoff."""
--- a/tests/unit/gateway/test_draining_in_responses.py
+++ b/tests/unit/gateway/test_draining_in_responses.py
@@ -63,7 +63,7 @@
     directory.register(ready, 0.0)
     assert directory.expire(6.0)
     # The response to a request that was sent before it became unresponsive.
-    directory.note_draining(ready.upstream)
+    directory.record_draining(ready.upstream)
     directory.register(msgspec.structs.replace(ready, sequence=2), 7.0)
     assert not directory.is_usable(ready.upstream)
 
