--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -317,9 +317,9 @@
             return False
         return self._inspector.is_queueing(upstream, self.now())
 
-    def record_limit(self, heard: HeardLimit) -> None:
+    def record_limit(self, observed: HeardLimit) -> None:
         """Record the rate limit, or its absence, that a response named."""
-        self._execute(self.instance.record_limit(heard, self.now()))
+        self._execute(self.instance.record_limit(observed, self.now()))
 
     def record_backoff(self, upstream: UpstreamId, seconds: float) -> None:
         """Record that an upstream rejected a request and asked for a backoff."""
