--- a/src/scalebend/edges/admin.py
+++ b/src/scalebend/edges/admin.py
@@ -7,7 +7,7 @@
 import msgspec
 from aiohttp import web
 
-from scalebend.core.control_state import Accepted, Apply, Conflict
+from scalebend.core.control_state import Accepted, ApplyConfiguration, Conflict
 from scalebend.core.membership import MemberRank
 from scalebend.edges.authorization import read_key
 from scalebend.edges.runtime import Runtime
@@ -97,7 +97,7 @@
             known.listed.availability_zone,
             known.rank.name.lower(),
             known.version,
-            round(now - known.heard, 2),
+            round(now - known.last_contact, 2),
         )
         for known in instance.membership.list_known()
     ]
@@ -177,7 +177,7 @@
         check_configuration(change.configuration)
         if not change.change:
             raise RequestError("$.change: expected a change id")
-        match await self._runtime.propose(Apply(change), APPLY_TIMEOUT):
+        match await self._runtime.propose(ApplyConfiguration(change), APPLY_TIMEOUT):
             case Accepted(version):
                 return _answer(ApplyAnswer(version))
             case Conflict(winner, base):
--- /dev/null
+++ b/src/scalebend/edges/gateway/response_reading.py
@@ -0,0 +1,98 @@
+"""Reads responses with timeouts that tolerate a stall of this process.
+
+After a stall (a suspended process, a blocked event loop), expired timers run before the
+data that waits in the sockets is read. So a timer that runs much too late does not show
+that the upstream is unresponsive, and the read gets a short second timeout.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import Awaitable, Iterator
+from typing import Any
+
+import aiohttp
+
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+"""Largest body of a response that is buffered before it is forwarded."""
+
+MIN_STALL_S = 0.2
+"""Delay of a timer that shows a stall: far more than one busy iteration of the event
+loop."""
+
+EXTRA_READ_TIMEOUT_S = 0.3
+"""Second timeout after a stall: pending data is read within an iteration or two."""
+
+
+class UnresponsiveError(Exception):
+    """The upstream sent no bytes within the timeout."""
+
+
+@contextlib.contextmanager
+def cancel_on_failure(
+    sending: Awaitable[aiohttp.ClientResponse],
+) -> Iterator[asyncio.Future[aiohttp.ClientResponse]]:
+    """Send a request; if the block fails, cancel it and close its response.
+
+    A caller may disconnect just as the response head arrives: a response without an
+    owner would keep its connection, and the upstream would continue the work.
+    """
+    task = asyncio.ensure_future(sending)
+    try:
+        yield task
+    except BaseException:
+        task.add_done_callback(_close_response)
+        task.cancel()
+        raise
+
+
+def _close_response(task: asyncio.Future[aiohttp.ClientResponse]) -> None:
+    if not task.cancelled() and task.exception() is None:
+        task.result().close()
+
+
+async def wait_for_task(task: asyncio.Future[Any], timeout: float | None) -> bool:
+    """Wait for a task to end; return whether it did within ``timeout`` seconds."""
+    loop = asyncio.get_running_loop()
+    while True:
+        began = loop.time()
+        done, _ = await asyncio.wait({task}, timeout=timeout)
+        if done:
+            return True
+        if timeout is None or loop.time() - began - timeout < MIN_STALL_S:
+            return False
+        timeout = EXTRA_READ_TIMEOUT_S
+
+
+async def read_available(content: aiohttp.StreamReader, timeout: float | None) -> bytes:
+    """Return the next bytes; raise if none come within ``timeout`` seconds."""
+    loop = asyncio.get_running_loop()
+    while True:
+        timer = asyncio.timeout(timeout)
+        try:
+            async with timer:
+                return await content.readany()
+        except TimeoutError:
+            due = timer.when()
+            if not timer.expired() or due is None:
+                raise
+            if loop.time() - due < MIN_STALL_S:
+                raise UnresponsiveError from None
+            timeout = EXTRA_READ_TIMEOUT_S
+
+
+async def read_body(response: aiohttp.ClientResponse, timeout: float | None) -> bytes:
+    """Return the whole body.
+
+    Raises :class:`UnresponsiveError` when no bytes come for ``timeout`` seconds, and
+    :class:`aiohttp.ClientPayloadError` for a body over ``MAX_RESPONSE_BYTES``.
+    """
+    parts: list[bytes] = []
+    size = 0
+    while data := await read_available(response.content, timeout):
+        parts.append(data)
+        size += len(data)
+        if size > MAX_RESPONSE_BYTES:
+            raise aiohttp.ClientPayloadError("the response is too large")
+    return b"".join(parts)
--- a/src/scalebend/edges/runtime.py
+++ b/src/scalebend/edges/runtime.py
@@ -23,11 +23,11 @@
     ClaimKnown,
     ClaimTaken,
     Settle,
-    StoredAnswer,
+    StoredResponse,
     Withdraw,
 )
 from scalebend.core.consensus.messages import Ready, Recovered
-from scalebend.core.control_client import Proposed
+from scalebend.core.control_client import ProposalOutcome
 from scalebend.core.control_member import ToInstance
 from scalebend.core.control_state import Command, Result
 from scalebend.core.flow import (
@@ -71,7 +71,7 @@
 class ClaimedAnswerError(ClaimError):
     """The key's first request was answered; its stored answer is given again."""
 
-    def __init__(self, answer: StoredAnswer) -> None:
+    def __init__(self, answer: StoredResponse) -> None:
         super().__init__("this request was run before", ran=Ran.YES)
         self.stored = answer
 
@@ -162,12 +162,12 @@
         self.execute(self.instance.handle_result(attempt, result, self.now()))
 
     def _report_pause(self, upstream: UpstreamId, seconds: float) -> None:
-        self.instance.entry.note_backoff(upstream, seconds, self.now())
+        self.instance.entry.record_backoff(upstream, seconds, self.now())
 
     # Inputs
 
     def _take_announcement(self, announcement: Announcement) -> None:
-        self.execute(self.instance.take_announcement(announcement, self.now()))
+        self.execute(self.instance.receive_announcement(announcement, self.now()))
 
     def receive_message(self, sender: InstanceId, message: PeerMessage) -> None:
         """Take a message of another instance."""
@@ -252,7 +252,7 @@
                 self._spawn(self._cancel_on_engine(upstream, attempt))
             case SendOrder(upstream, order):
                 self._spawn(self._send_order(upstream, order))
-            case Proposed(proposal, result):
+            case ProposalOutcome(proposal, result):
                 future = self._proposals.pop(proposal, None)
                 if future is not None and not future.done():
                     future.set_result(result)
