--- a/src/scalebend/storage/__init__.py
+++ b/src/scalebend/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files under the data folder; what is written lasts once it is synced."""
+"""Files under the data folder."""
--- a/src/scalebend/storage/crash_file.py
+++ b/src/scalebend/storage/crash_file.py
@@ -1,7 +1,7 @@
-"""Requests under which upstreams ended, so that they are known after a restart.
+"""Stores crash records, so that suspect requests are known after a restart.
 
-Where all processes start again at once, nobody else remembers them: each would end
-three more upstreams before it is held back again.
+If all processes restart at once, no peer can supply the records, and each quarantined
+request could crash further upstreams.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def write_crashes(folder: Path, records: list[CrashRecord]) -> None:
-    """Store what is known; fronts and other control instances know it, too."""
+    """Replace the stored records; peers have copies, so an error is only logged."""
     write_hints(folder / _NAME, records)
 
 
 def read_crashes(folder: Path) -> list[CrashRecord]:
-    """What was stored last; nothing if it is not there whole."""
+    """Read the stored records; empty if the file is missing or damaged."""
     return read_hints(folder / _NAME, _DECODER)
--- a/src/scalebend/storage/files.py
+++ b/src/scalebend/storage/files.py
@@ -1,4 +1,4 @@
-"""Whole-file writes that survive a crash."""
+"""Atomic, durable replacement of files."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make new and renamed names in ``folder`` durable."""
+    """Sync the directory entries of ``folder`` to disk."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -16,7 +16,7 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Write ``data`` to ``path`` so that it holds the old or the new, whole."""
+    """Replace the content of ``path`` atomically and sync it to disk."""
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb") as file:
         file.write(data)
--- a/src/scalebend/storage/hint_file.py
+++ b/src/scalebend/storage/hint_file.py
@@ -1,7 +1,6 @@
-"""Lists that a process stores to know them after a restart, each entry checked.
+"""Files of hints: lists that speed up a restart but may be lost.
 
-They are hints, not state that must last: a file that is missing, torn or damaged is no
-fault, and a disk that refuses it is logged and otherwise ignored.
+A missing file is ignored; read and write errors and damaged content are only logged.
 """
 
 from __future__ import annotations
@@ -20,15 +19,15 @@
 
 Entry = TypeVar("Entry")
 
-_CHECKSUM_SIZE = 4
+_CHECKSUM_BYTES = 4
 _ENCODER = msgspec.msgpack.Encoder()
 _LIST_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
 
 
 def write_hints(path: Path, entries: Sequence[object]) -> None:
-    """Store ``entries`` whole, in place of what was stored before."""
+    """Replace the stored list by ``entries``; an I/O error is logged."""
     data = _ENCODER.encode(entries)
-    checksum = zlib.crc32(data).to_bytes(_CHECKSUM_SIZE, "big")
+    checksum = zlib.crc32(data).to_bytes(_CHECKSUM_BYTES, "big")
     try:
         replace_file(path, checksum + data)
     except OSError as error:
@@ -36,7 +35,7 @@
 
 
 def read_hints(path: Path, decoder: msgspec.msgpack.Decoder[Entry]) -> list[Entry]:
-    """What was stored last; nothing if it is not there whole."""
+    """Read the stored list; empty if the file is missing or damaged."""
     try:
         stored = path.read_bytes()
     except FileNotFoundError:
@@ -44,8 +43,8 @@
     except OSError as error:
         logger.warning("hints not read", file=path.name, error=str(error))
         return []
-    data = stored[_CHECKSUM_SIZE:]
-    if stored[:_CHECKSUM_SIZE] != zlib.crc32(data).to_bytes(_CHECKSUM_SIZE, "big"):
+    data = stored[_CHECKSUM_BYTES:]
+    if stored[:_CHECKSUM_BYTES] != zlib.crc32(data).to_bytes(_CHECKSUM_BYTES, "big"):
         logger.warning("hints not read", file=path.name, error="damaged")
         return []
     try:
@@ -59,7 +58,7 @@
 def _decode_valid(
     path: Path, entries: list[msgspec.Raw], decoder: msgspec.msgpack.Decoder[Entry]
 ) -> list[Entry]:
-    """The entries that another program did not spoil, in their order."""
+    """Decode the valid entries, in their order, and log how many are invalid."""
     valid = []
     error: msgspec.MsgspecError | None = None
     for entry in entries:
--- a/src/scalebend/storage/journal.py
+++ b/src/scalebend/storage/journal.py
@@ -1,11 +1,11 @@
 """Journal and snapshot of a control instance, under its data folder.
 
-Each record is one synced write: a header with its own checksum, then a payload with
-a checksum. A torn record at the end is cut, since it was never confirmed. A damaged
-record before the end is refused: confirmed state would be lost silently.
+Each record is one synced write: a header and a payload, each with a checksum. A torn
+record at the end is truncated, since it was never acknowledged. A damaged record before
+the end raises :class:`StorageError`, since acknowledged state would be lost.
 
-Files: ``disk`` (the folder's random name), ``snapshot`` and ``journal-N``; the
-highest ``N`` counts.
+Files: ``disk`` (the folder's random id), ``snapshot`` and ``journal-N``; the highest
+``N`` is current.
 """
 
 from __future__ import annotations
@@ -38,32 +38,32 @@
 
 
 def _pack(magic: bytes, payload: bytes) -> bytes:
-    lead = struct.pack("<4sII", magic, len(payload), zlib.crc32(payload))
-    return lead + struct.pack("<I", zlib.crc32(lead)) + payload
+    prefix = struct.pack("<4sII", magic, len(payload), zlib.crc32(payload))
+    return prefix + struct.pack("<I", zlib.crc32(prefix)) + payload
 
 
-class _Parsed(msgspec.Struct):
+class _ParsedRecord(msgspec.Struct):
     payload: bytes | None
     end: int
 
 
-def _parse(data: bytes, start: int, magic: bytes) -> _Parsed:
-    """Return the record at ``start``; its payload is ``None`` when it is damaged."""
+def _parse(data: bytes, start: int, magic: bytes) -> _ParsedRecord:
+    """Return the record at ``start``; its payload is ``None`` if it is damaged."""
     if len(data) - start < _HEADER.size:
-        return _Parsed(None, len(data))
+        return _ParsedRecord(None, len(data))
     found, size, checksum, header_checksum = _HEADER.unpack_from(data, start)
-    lead = data[start : start + _HEADER.size - 4]
-    if found != magic or zlib.crc32(lead) != header_checksum:
-        return _Parsed(None, start + 1)
+    prefix = data[start : start + _HEADER.size - 4]
+    if found != magic or zlib.crc32(prefix) != header_checksum:
+        return _ParsedRecord(None, start + 1)
     body = start + _HEADER.size
     payload = data[body : body + size]
     if len(payload) < size or zlib.crc32(payload) != checksum:
-        return _Parsed(None, min(len(data), body + size))
-    return _Parsed(payload, body + size)
+        return _ParsedRecord(None, min(len(data), body + size))
+    return _ParsedRecord(payload, body + size)
 
 
 def _has_record_after(data: bytes, start: int) -> bool:
-    """Whether any whole record stands in ``data`` from ``start`` on."""
+    """Whether ``data`` holds an intact record at or after ``start``."""
     position = data.find(_MAGIC, start)
     while position >= 0:
         if _parse(data, position, _MAGIC).payload is not None:
@@ -73,7 +73,7 @@
 
 
 class Journal:
-    """Durable state of one control member."""
+    """Append-only log and snapshot of one control member."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -82,7 +82,7 @@
         self.bytes_written = 0
 
     def recover(self) -> Recovered:
-        """Read everything that was confirmed; cut a torn tail."""
+        """Read all acknowledged state and truncate a torn record at the end."""
         self._folder.mkdir(parents=True, exist_ok=True)
         disk = self._read_disk()
         snapshot = self._read_snapshot()
@@ -110,7 +110,7 @@
         self._number += 1
         old_file = self._file
         first = msgspec.msgpack.encode(Persist(hard_state, None, entries))
-        # Complete before it gets its name: recovery takes the highest number.
+        # Written atomically: recovery reads the journal with the highest number.
         replace_file(self._get_path(self._number), _pack(_MAGIC, first))
         path = self._get_path(self._number)
         self._file = os.open(path, os.O_WRONLY | os.O_APPEND)
@@ -121,7 +121,7 @@
         self.bytes_written += len(data) + len(first)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the journal file, if open."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
@@ -160,13 +160,13 @@
             if parsed.payload is None:
                 if _has_record_after(data, position + 1):
                     raise StorageError(f"{path}: damaged record at byte {position}")
-                self._cut(path, position)
+                self._truncate(path, position)
                 break
             records.append(msgspec.msgpack.decode(parsed.payload, type=Persist))
             position = parsed.end
         return records
 
-    def _cut(self, path: Path, size: int) -> None:
+    def _truncate(self, path: Path, size: int) -> None:
         with path.open("r+b") as file:
             file.truncate(size)
             os.fsync(file.fileno())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixed seeds, so that every run gives the same verdict; tests known to be red."""
+"""Hypothesis profiles, and expected failures listed in KNOWN-RED.txt."""
 
 import os
 from pathlib import Path
@@ -13,7 +13,7 @@
     max_examples=60,
     stateful_step_count=40,
     database=None,
-    # Shrinking may take minutes; the profile "shrink" does it on demand.
+    # Shrinking may take minutes; use the profile "shrink" for it.
     phases=[Phase.explicit, Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
@@ -36,11 +36,11 @@
 settings.load_profile(os.environ.get("SCALEBEND_HYPOTHESIS_PROFILE", "ci"))
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-"""Tests that fail for a fault that is not mended yet: test | cause | issue | seen."""
+"""Tests that fail due to open issues; a line is: test | cause | issue | seen."""
 
 
 def read_known_red():
-    """The listed lines by test, for a run that passes over just these."""
+    """Read the listed lines, by test."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {line.partition(" | ")[0]: line for line in lines if line.strip()}
 
--- a/tests/unit/test_journal.py
+++ b/tests/unit/test_journal.py
@@ -1,4 +1,4 @@
-"""Files of a control instance: torn tails, damage, snapshots."""
+"""The journal recovers all acknowledged state, or fails if some is damaged."""
 
 import pytest
 
@@ -27,14 +27,14 @@
             journal.write(Persist(STATE, None, build_entries(first, last)))
 
 
-def test_what_was_written_is_recovered(tmp_path):
+def test_written_state_is_recovered(tmp_path):
     write_journal(tmp_path, [(1, 3), (4, 4)])
     with open_journal(tmp_path) as (_, recovered):
         assert recovered.hard_state == STATE
         assert recovered.entries == build_entries(1, 4)
 
 
-def test_truncated_entries_are_gone(tmp_path):
+def test_truncated_entries_are_not_recovered(tmp_path):
     write_journal(tmp_path, [(1, 5)])
     with open_journal(tmp_path) as (journal, _):
         journal.write(Persist(STATE, 3, [LogEntry(3, 4, 0.0)]))
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 5, 16, 30])
-def test_torn_tail_is_cut(tmp_path, cut):
+def test_torn_tail_is_truncated(tmp_path, cut):
     write_journal(tmp_path, [(1, 2), (3, 4)])
     path = tmp_path / "journal-0"
     path.write_bytes(path.read_bytes()[:-cut])
@@ -66,7 +66,7 @@
     assert path.read_bytes() == bytes(data)
 
 
-def test_damaged_snapshot_is_refused(tmp_path):
+def test_damaged_snapshot_is_rejected(tmp_path):
     with open_journal(tmp_path) as (journal, _):
         members = Members(frozenset({ME}))
         journal.store_snapshot(Snapshot(2, 3, members, b"state"), STATE, [])
@@ -105,7 +105,7 @@
         assert recovered.entries == build_entries(4, 5)
 
 
-def test_state_without_its_disk_name_is_refused(tmp_path):
+def test_state_without_its_disk_id_is_rejected(tmp_path):
     write_journal(tmp_path, [(1, 1)])
     (tmp_path / "disk").unlink()
     with pytest.raises(StorageError, match="'disk' is missing"):
