--- a/src/scalebend/commands/demo.py
+++ b/src/scalebend/commands/demo.py
@@ -57,7 +57,7 @@
     serve_service,
 )
 from scalebend.utils.keys import hash_key
-from scalebend.utils.quantiles import read_quantile
+from scalebend.utils.quantiles import compute_quantile
 
 ENGINES = 5
 TIME_SCALE = 0.2
@@ -408,9 +408,9 @@
     return BandRow(
         band.label,
         len(mine),
-        read_quantile(whole, 0.5),
-        read_quantile(whole, 0.95),
-        read_quantile(slowdowns, 0.5) if is_short else None,
+        compute_quantile(whole, 0.5),
+        compute_quantile(whole, 0.95),
+        compute_quantile(slowdowns, 0.5) if is_short else None,
         dict(failed),
     )
 
--- a/src/scalebend/commands/errors.py
+++ b/src/scalebend/commands/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from scalebend.exceptions import ANSWERS
+from scalebend.exceptions import ERROR_RESPONSES
 
 HEAD = """\
 # Errors
@@ -29,6 +29,6 @@
     rows = [
         f"| `{kind.value}` | {answer.status} | "
         f"{'yes' if answer.retryable else 'no'} | {answer.title} |"
-        for kind, answer in ANSWERS.items()
+        for kind, answer in ERROR_RESPONSES.items()
     ]
     return HEAD + "\n".join(rows) + "\n"
--- a/src/scalebend/commands/gateway.py
+++ b/src/scalebend/commands/gateway.py
@@ -19,7 +19,7 @@
 from scalebend.models.gateway_settings import GatewayRole, GatewaySettings
 from scalebend.platform.early_settings import SETTINGS_VARIABLE
 from scalebend.platform.settings import read_gateway_settings
-from scalebend.utils.early_stop import exit_when_stopped
+from scalebend.utils.sigterm import exit_on_sigterm
 
 logger = structlog.get_logger(__name__)
 
@@ -39,7 +39,7 @@
 
     ``listeners`` are sockets that listen already, if there are any.
     """
-    exit_when_stopped()
+    exit_on_sigterm()
     path = settings or Path(os.environ.get(SETTINGS_VARIABLE, ""))
     try:
         read = read_gateway_settings(path)
--- a/src/scalebend/commands/measure_overhead.py
+++ b/src/scalebend/commands/measure_overhead.py
@@ -42,7 +42,7 @@
     UpstreamId,
 )
 from scalebend.models.settings import Listen, LogFormat, Logging, Role, Settings
-from scalebend.models.upstream import Announcement, LoadedModel, UpstreamKindName
+from scalebend.models.upstream import Announcement, LoadedModel, UpstreamFamily
 from scalebend.standins.announcer import announce_for_ever
 from scalebend.standins.ports import find_free_ports
 from scalebend.utils.keys import hash_key
@@ -279,7 +279,7 @@
         count += 1
         return Announcement(
             upstream=UpstreamId("engine"),
-            family=UpstreamKindName.ENGINE,
+            family=UpstreamFamily.ENGINE,
             address=address,
             incarnation=Incarnation(os.getpid()),
             availability_zone=AvailabilityZone("z"),
--- a/src/scalebend/commands/start_gateway.py
+++ b/src/scalebend/commands/start_gateway.py
@@ -13,12 +13,12 @@
 
 from scalebend.edges.gateway.sockets import Listeners
 from scalebend.platform.early_settings import SETTINGS_VARIABLE, read_callers_address
-from scalebend.utils.early_stop import exit_when_stopped
+from scalebend.utils.sigterm import exit_on_sigterm
 
 
 def main() -> int:
     """Run the process that the platform's settings describe until SIGTERM."""
-    exit_when_stopped()
+    exit_on_sigterm()
     listeners = Listeners()
     address = read_callers_address(os.environ.get(SETTINGS_VARIABLE, ""))
     if address is not None:
--- a/src/scalebend/core/catalog.py
+++ b/src/scalebend/core/catalog.py
@@ -13,7 +13,7 @@
 from scalebend.models.ids import AvailabilityZone, ModelName, ServiceName, UpstreamId
 from scalebend.models.upstream import (
     Announcement,
-    UpstreamKindName,
+    UpstreamFamily,
     UpstreamState,
 )
 from scalebend.models.work import LoadDigest, ReplicaView, Request
@@ -77,12 +77,12 @@
 
 def _check_family(announcement: Announcement) -> list[Fault]:
     match announcement.family:
-        case UpstreamKindName.ENGINE:
+        case UpstreamFamily.ENGINE:
             if 1 <= announcement.memory_tokens <= MOST_MEMORY_TOKENS:
                 return []
             expected = f"expected 1 to {MOST_MEMORY_TOKENS} tokens"
             return [Fault("$.memory_tokens", expected)]
-        case UpstreamKindName.SERVICE:
+        case UpstreamFamily.SERVICE:
             if announcement.service and not announcement.memory_tokens:
                 return []
             return [Fault("$.service", "expected a service name and no memory_tokens")]
--- a/src/scalebend/core/crash_ledger.py
+++ b/src/scalebend/core/crash_ledger.py
@@ -122,7 +122,7 @@
         return [
             CrashRecord(one.fingerprint, tuple(self._records[one.fingerprint].crashed))
             for one in records
-            if self._update_record(one.fingerprint, one.ended, now)
+            if self._update_record(one.fingerprint, one.upstreams, now)
         ]
 
     def clear(self, fingerprints: Iterable[Fingerprint]) -> list[Fingerprint]:
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -140,7 +140,7 @@
         if flow.state is FlowState.TRANSFERRING:
             return self._start_decode(flow)
         attempt.state = AttemptState.GRANTED
-        if flow.request.repeatable or flow.is_claimed:
+        if flow.request.is_idempotent or flow.is_claimed:
             return self._start(flow, now)
         flow.state = FlowState.CLAIMING
         return [ClaimKey(flow.request.request)]
@@ -470,7 +470,7 @@
         flow.last_error = error
         flow.excluded.add(attempt.lead)
         actions = self._release_attempt(flow, outcome)
-        is_safe = attempt.never_started or flow.request.repeatable
+        is_safe = attempt.never_started or flow.request.is_idempotent
         if not is_safe or flow.has_delivered:
             return actions + self._conclude(flow, error)
         if not self._retry_budget.spend():
@@ -574,6 +574,6 @@
 _REFUSAL_KINDS = {
     RefusalReason.TOO_LARGE: ErrorKind.PROMPT_TOO_LONG,
     RefusalReason.TOO_LATE: ErrorKind.OVERLOADED,
-    RefusalReason.LEAVING: ErrorKind.NO_UPSTREAM,
+    RefusalReason.DRAINING: ErrorKind.NO_UPSTREAM,
     RefusalReason.NOT_OWNER: ErrorKind.NO_UPSTREAM,
 }
--- a/src/scalebend/core/gateway/attempts.py
+++ b/src/scalebend/core/gateway/attempts.py
@@ -67,7 +67,7 @@
         """
         self.excluded.add(upstream)
         match outcome:
-            case Outcome.NOT_SENT | Outcome.LEFT:
+            case Outcome.NOT_SENT | Outcome.WITHDRAWN:
                 self._unsent += 1
                 is_allowed = self._unsent < MAX_UNSENT
                 return self._retry_or_refuse(is_allowed, retries, now, is_sent=False)
@@ -83,8 +83,8 @@
                 self.runs += 1
                 return GiveUp(ErrorKind.TIME_LIMIT, Ran.UNKNOWN)
         self.runs += 1
-        is_allowed = self._call.route.may_repeat
-        is_allowed &= self.runs < self._call.route.attempts_most
+        is_allowed = self._call.route.is_idempotent
+        is_allowed &= self.runs < self._call.route.max_attempts
         if is_allowed and self._has_time(now):
             if retries.spend(self._call.service, now):
                 return TryAgain()
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -65,7 +65,7 @@
 )
 from scalebend.exceptions import ErrorKind, RequestError
 from scalebend.models.endpoints import (
-    Departure,
+    Deregistration,
     Endpoint,
     UpstreamOutcomes,
 )
@@ -392,7 +392,7 @@
         self, name: UpstreamName, now: float, born: int | None = None
     ) -> list[ControlAction]:
         """Deregister an upstream at its own request."""
-        departure = Departure(name, born)
+        departure = Deregistration(name, born)
         return self._send_updates(self.upstreams.deregister(departure, now))
 
     def _send_updates(self, updates: UpstreamUpdates) -> list[ControlAction]:
--- a/src/scalebend/core/gateway/endpoint_directory.py
+++ b/src/scalebend/core/gateway/endpoint_directory.py
@@ -20,9 +20,9 @@
 import structlog
 
 from scalebend.models.endpoints import (
-    Departure,
+    Deregistration,
     Endpoint,
-    EndpointNews,
+    EndpointUpdate,
     build_upstream_id,
 )
 from scalebend.models.ids import ServiceName, UpstreamId, UpstreamName
@@ -105,12 +105,12 @@
         """List the ids of all upstreams that are not gone."""
         return [u for u, known in self._known.items() if not known.is_gone]
 
-    def list_updates(self) -> list[EndpointNews]:
+    def list_updates(self) -> list[EndpointUpdate]:
         """List the full state, for a process that has none yet."""
-        return [EndpointNews(k.endpoint, k.is_gone) for k in self._known.values()]
+        return [EndpointUpdate(k.endpoint, k.is_gone) for k in self._known.values()]
 
     def restore(
-        self, updates: list[EndpointNews], lifetime_s: float, now: float
+        self, updates: list[EndpointUpdate], lifetime_s: float, now: float
     ) -> None:
         """Restore the state from before a restart.
 
@@ -122,7 +122,7 @@
             if not known.is_gone:
                 known.last_seen_at = now - self._registration_timeout_s + lifetime_s
 
-    def register(self, endpoint: Endpoint, now: float) -> EndpointNews | None:
+    def register(self, endpoint: Endpoint, now: float) -> EndpointUpdate | None:
         """Apply a registration; return the update to publish if anything changed."""
         if self._is_superseded(endpoint):
             return None
@@ -218,7 +218,7 @@
         self._take_address(endpoint)
         return True
 
-    def remove(self, upstream: UpstreamId, now: float) -> EndpointNews | None:
+    def remove(self, upstream: UpstreamId, now: float) -> EndpointUpdate | None:
         """Mark an incarnation as gone for good."""
         known = self._known.get(upstream)
         if known is None:
@@ -229,7 +229,7 @@
         known.last_seen_at = now
         return self._publish(known.endpoint, is_gone=True) if is_change else None
 
-    def record_draining(self, upstream: UpstreamId) -> EndpointNews | None:
+    def record_draining(self, upstream: UpstreamId) -> EndpointUpdate | None:
         """Record that an incarnation announced, outside a registration, that it drains.
 
         An incarnation that timed out does not come back after that.
@@ -240,7 +240,9 @@
         known.endpoint = msgspec.structs.replace(known.endpoint, is_draining=True)
         return self._publish(known.endpoint, is_gone=known.is_gone)
 
-    def deregister(self, departure: Departure, now: float) -> EndpointNews | None:
+    def deregister(
+        self, departure: Deregistration, now: float
+    ) -> EndpointUpdate | None:
         """Deregister an upstream; without ``born``, its latest incarnation."""
         if departure.born is not None:
             upstream = build_upstream_id(departure.name, departure.born)
@@ -248,7 +250,7 @@
         newest = self._newest.get(departure.name)
         return self.remove(newest, now) if newest is not None else None
 
-    def merge(self, update: EndpointNews, now: float) -> EndpointNews | None:
+    def merge(self, update: EndpointUpdate, now: float) -> EndpointUpdate | None:
         """Apply an update of another process; return the update that is new here."""
         if not update.is_gone:
             return self.register(update.endpoint, now)
@@ -267,7 +269,7 @@
         known.is_gone = True
         return self._publish(known.endpoint, is_gone=True)
 
-    def expire(self, now: float) -> list[EndpointNews]:
+    def expire(self, now: float) -> list[EndpointUpdate]:
         """Mark timed-out upstreams as gone, forget old ones; return the changes."""
         timed_out = [
             known
@@ -293,14 +295,14 @@
             if self._newest.get(endpoint.name) == upstream:
                 del self._newest[endpoint.name]
 
-    def _publish(self, endpoint: Endpoint, *, is_gone: bool) -> EndpointNews:
+    def _publish(self, endpoint: Endpoint, *, is_gone: bool) -> EndpointUpdate:
         self._usable.pop(endpoint.service, None)
         usable = self._by_service.setdefault(endpoint.service, {})
         if is_gone or endpoint.is_draining:
             usable.pop(endpoint.upstream, None)
         else:
             usable[endpoint.upstream] = endpoint
-        return EndpointNews(endpoint, is_gone)
+        return EndpointUpdate(endpoint, is_gone)
 
 
 def _is_same_but_for_sequence(one: Endpoint, other: Endpoint) -> bool:
--- a/src/scalebend/core/gateway/engine_costs.py
+++ b/src/scalebend/core/gateway/engine_costs.py
@@ -22,9 +22,9 @@
 
     Attention compares each token with all earlier ones, hence the square.
     """
-    linear = tokens / profile.read_tokens_per_second
+    linear = tokens / profile.prefill_tokens_per_second
     pairs = tokens * tokens / 2.0
-    return linear + pairs * profile.pairs_ms_per_million * 1e-6 * _MILLI
+    return linear + pairs * profile.attention_ms_per_million_pairs * 1e-6 * _MILLI
 
 
 def compute_batch_step_time(profile: EngineProfile, contexts: list[int]) -> float:
@@ -35,4 +35,4 @@
     for context in contexts:
         step_ms += profile.per_sequence_ms
         step_ms += profile.context_ms_per_thousand * context / 1000.0
-    return profile.steps_per_pass * step_ms * _MILLI
+    return profile.decode_steps_per_batch_step * step_ms * _MILLI
--- a/src/scalebend/core/gateway/engine_scheduler.py
+++ b/src/scalebend/core/gateway/engine_scheduler.py
@@ -39,7 +39,7 @@
     ReplicaPace,
 )
 from scalebend.models.routing import EngineProfile
-from scalebend.utils.fading import FadingMaximum
+from scalebend.utils.decaying_maximum import DecayingMaximum
 
 MAX_PART_S = 1.0
 """Prefill time of one part, if a group with such parts exists. Longer parts keep
@@ -90,7 +90,7 @@
         self._is_uncoordinated = bool(salt)
         self._salt = salt.encode()
         self._max_part_s = max_part_s
-        self._quick = FadingMaximum(QUICK_DECAY_S)
+        self._quick = DecayingMaximum(QUICK_DECAY_S)
         self._jobs: dict[JobId, Job] = {}
         self._suspects: dict[JobId, Job] = {}
         """Those of the open jobs that are suspect requests."""
@@ -142,7 +142,7 @@
         if opened.work.job in self._jobs:
             return
         self._add_job(opened.work, opened.placement, profile, now - opened.age)
-        if opened.is_writing:
+        if opened.is_decoding:
             self.record_stage(JobStage(opened.work.job, is_ended=False), now)
 
     def forget(self, job: JobId) -> None:
@@ -194,7 +194,7 @@
                     upstream, round(prefill_left, 3), len(gaps), gap, pace
                 )
                 busy.append(report)
-        busy.sort(key=lambda one: (-one.pace, -one.reading, -one.writing))
+        busy.sort(key=lambda one: (-one.pace, -one.prefill_s, -one.decoding))
         return busy[:most]
 
     def record_busy_replicas(self, busy: list[BusyReplica], now: float) -> None:
@@ -229,7 +229,7 @@
         if pool is None:
             pool = self._pools[work.service] = ReplicaPool(self._rank)
         pool.refresh(endpoints, profile, self._replicas, now)
-        self._quick.note(pool.quick_jobs, now)
+        self._quick.record(pool.quick_jobs, now)
         placement = self._choose(self._build_plan(work, profile, now, in_backoff), pool)
         if isinstance(placement, Placement):
             self._add_job(work, placement, profile, now)
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -45,7 +45,7 @@
 from scalebend.core.gateway.unanswered_attempts import UnansweredAttempts
 from scalebend.core.upstream_backoff import UpstreamBackoffs
 from scalebend.models.crashes import CrashRecord
-from scalebend.models.endpoints import EndpointNews, UpstreamOutcomes
+from scalebend.models.endpoints import EndpointUpdate, UpstreamOutcomes
 from scalebend.models.gateway_settings import GatewaySettings
 from scalebend.models.ids import (
     Fingerprint,
@@ -63,7 +63,7 @@
     Placement,
     ReplicaPace,
 )
-from scalebend.models.request_limits import HeardLimit
+from scalebend.models.rate_limits import ObservedLimit
 from scalebend.models.routing import EMPTY_ROUTING
 
 logger = structlog.get_logger(__name__)
@@ -262,7 +262,7 @@
         return actions
 
     def _apply_endpoints(
-        self, changes: list[EndpointNews], now: float
+        self, changes: list[EndpointUpdate], now: float
     ) -> list[FrontAction]:
         ended = []
         for change in changes:
@@ -438,7 +438,7 @@
 
     # Rate limits
 
-    def record_limit(self, heard: HeardLimit, now: float) -> list[ToControl]:
+    def record_limit(self, heard: ObservedLimit, now: float) -> list[ToControl]:
         """Record the rate limit in an upstream's response, or that there is none."""
         update = self.limits.receive(heard, now, has_leader=self.leader is not None)
         return self._send_to_leader(update) if update is not None else []
--- a/src/scalebend/core/gateway/front_jobs.py
+++ b/src/scalebend/core/gateway/front_jobs.py
@@ -29,7 +29,7 @@
 
     def open(self, work: EngineWork, placement: Placement, now: float) -> OpenJob:
         """Store a job that was placed now."""
-        opened = OpenJob(work, placement, is_writing=False)
+        opened = OpenJob(work, placement, is_decoding=False)
         self._jobs[work.job] = opened
         self._placed_at[work.job] = now
         return opened
@@ -73,7 +73,7 @@
             self._jobs.pop(stage.job, None)
             self._placed_at.pop(stage.job, None)
         elif opened is not None:
-            self._jobs[stage.job] = msgspec.structs.replace(opened, is_writing=True)
+            self._jobs[stage.job] = msgspec.structs.replace(opened, is_decoding=True)
 
     def find_work(self, job: JobId) -> EngineWork:
         """Return the work of an open job."""
--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -15,12 +15,12 @@
     SendPermitReply,
     SendPermitRequest,
 )
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.core.send_budget import SendBudget, UncoordinatedShare
 from scalebend.models.ids import InstanceId, UpstreamId
-from scalebend.models.request_limits import (
-    HeardLimit,
-    RequestLimit,
+from scalebend.models.rate_limits import (
+    ObservedLimit,
+    RateLimit,
     describe_rate,
 )
 
@@ -31,7 +31,7 @@
     """Rate limits known to one front, and what it may send without the leader."""
 
     def __init__(self, front: InstanceId, now: float) -> None:
-        self._limits = RequestLimits()
+        self._limits = RateLimits()
         self._fronts = 1
         self._number: int | None = None
         # Used until the leader assigns numbers; two fronts may get the same one.
@@ -40,7 +40,7 @@
         self.budget = SendBudget(self._limits, UncoordinatedShare(1, 0, now))
         self.placement = LimitedPlacement(self.budget)
 
-    def get(self, upstream: UpstreamId) -> RequestLimit:
+    def get(self, upstream: UpstreamId) -> RateLimit:
         """The limit in force at an upstream."""
         return self._limits.get(upstream)
 
@@ -53,7 +53,7 @@
         return self._limits.count_limited()
 
     def receive(
-        self, reported: HeardLimit, now: float, *, has_leader: bool
+        self, reported: ObservedLimit, now: float, *, has_leader: bool
     ) -> ObservedLimits | None:
         """Apply the limit named in a response; return the report for the leader.
 
@@ -104,7 +104,7 @@
         self.budget.refresh(now)
         self.placement.expire(now)
 
-    def _apply_changes(self, changed: list[RequestLimit], now: float) -> None:
+    def _apply_changes(self, changed: list[RateLimit], now: float) -> None:
         for limit in changed:
             logger.info(
                 "request limit known",
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -21,14 +21,14 @@
     SendPermitReply,
     SendPermitRequest,
 )
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.core.send_budget import LeaderShare, SendBudget
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import InstanceId, UpstreamId
 from scalebend.models.placement import Declined, EngineWork, Placement
-from scalebend.models.request_limits import (
-    HeardLimit,
-    RequestLimit,
+from scalebend.models.rate_limits import (
+    ObservedLimit,
+    RateLimit,
     describe_rate,
 )
 from scalebend.models.routing import EngineProfile
@@ -52,12 +52,12 @@
     """Rate limits known to one control instance, and its grants while it leads."""
 
     def __init__(self) -> None:
-        self.limits = RequestLimits()
+        self.limits = RateLimits()
         self.budget = SendBudget(self.limits, LeaderShare(1.0))
         self.placement = LimitedPlacement(self.budget)
         self._linked: dict[InstanceId, None] = {}
         self._lost: dict[InstanceId, float] = {}
-        self._changed: dict[UpstreamId, RequestLimit] = {}
+        self._changed: dict[UpstreamId, RateLimit] = {}
         self._has_new_positions = False
         """Whether the positions of fronts differ from those last sent to them."""
 
@@ -113,7 +113,7 @@
     # Updates
 
     def receive(
-        self, front: InstanceId, reported: Iterable[HeardLimit], now: float
+        self, front: InstanceId, reported: Iterable[ObservedLimit], now: float
     ) -> None:
         """Apply limits that a front read in responses."""
         for one in reported:
@@ -121,16 +121,12 @@
             if changed is not None:
                 self._record_change(changed, front, now)
 
-    def merge(
-        self, front: InstanceId, limits: Iterable[RequestLimit], now: float
-    ) -> None:
+    def merge(self, front: InstanceId, limits: Iterable[RateLimit], now: float) -> None:
         """Merge all limits that a front knows."""
         for changed in self.limits.merge(limits):
             self._record_change(changed, front, now)
 
-    def _record_change(
-        self, limit: RequestLimit, source: InstanceId, now: float
-    ) -> None:
+    def _record_change(self, limit: RateLimit, source: InstanceId, now: float) -> None:
         logger.info(
             "request limit changed",
             upstream=limit.upstream,
--- a/src/scalebend/core/gateway/messages.py
+++ b/src/scalebend/core/gateway/messages.py
@@ -8,13 +8,13 @@
 from scalebend.core.gateway.routing_store import RoutingUpdate
 from scalebend.core.messages import Found, Hello, HelloReply, Join, RelayReply
 from scalebend.models.crashes import CrashRecord
-from scalebend.models.endpoints import EndpointNews, UpstreamOutcomes
+from scalebend.models.endpoints import EndpointUpdate, UpstreamOutcomes
 from scalebend.models.gateway_settings import GatewayRole
 from scalebend.models.ids import (
     Fingerprint,
     InstanceId,
     RoutingVersion,
-    SendId,
+    SendPermitId,
     Term,
     UpstreamId,
 )
@@ -28,7 +28,7 @@
     Placement,
     ReplicaPace,
 )
-from scalebend.models.request_limits import HeardLimit, RequestLimit
+from scalebend.models.rate_limits import ObservedLimit, RateLimit
 
 
 class Introduce(msgspec.Struct, frozen=True, tag=True):
@@ -85,13 +85,13 @@
 class EndpointChanges(msgspec.Struct, frozen=True, tag=True):
     """Control instance to fronts: changed upstreams; all of them at first."""
 
-    changes: list[EndpointNews] = msgspec.field(name="news")
+    changes: list[EndpointUpdate] = msgspec.field(name="news")
 
 
 class Registrations(msgspec.Struct, frozen=True, tag=True):
     """Control instance to the others: registrations it received, changed or not."""
 
-    registrations: list[EndpointNews] = msgspec.field(name="news")
+    registrations: list[EndpointUpdate] = msgspec.field(name="news")
 
 
 class PlacementRequest(msgspec.Struct, frozen=True, tag="PlaceQuestion"):
@@ -151,13 +151,13 @@
 class ObservedLimits(msgspec.Struct, frozen=True, tag="LimitsHeard"):
     """Front to leader: rate limits that upstreams named in responses."""
 
-    heard: list[HeardLimit]
+    heard: list[ObservedLimit]
 
 
 class LimitUpdates(msgspec.Struct, frozen=True, tag="LimitNews"):
     """Leader to fronts: changed rate limits; front to a new leader: all it knows."""
 
-    limits: list[RequestLimit]
+    limits: list[RateLimit]
 
 
 class RejectionReport(msgspec.Struct, frozen=True, tag="RejectionSeen"):
@@ -182,7 +182,7 @@
 class SendPermitRequest(msgspec.Struct, frozen=True, tag="SendQuestion"):
     """Front to leader: request to send to one of these rate-limited upstreams."""
 
-    request_id: SendId = msgspec.field(name="question")
+    request_id: SendPermitId = msgspec.field(name="question")
     upstreams: list[UpstreamId]
     timeout_s: float = msgspec.field(name="patience")
     """How long the request may wait."""
@@ -194,7 +194,7 @@
     Without an upstream there is no permit; one has capacity after ``wait`` seconds.
     """
 
-    request_id: SendId = msgspec.field(name="question")
+    request_id: SendPermitId = msgspec.field(name="question")
     upstream: UpstreamId | None
     wait: float
 
--- a/src/scalebend/core/gateway/replica_load.py
+++ b/src/scalebend/core/gateway/replica_load.py
@@ -184,7 +184,7 @@
         reported = self._find_reported(now)
         if reported is not None:
             queued.is_prefilling = True
-            left = reported.reading - (now - self.reported_at)
+            left = reported.prefill_s - (now - self.reported_at)
             if left > 0.0:
                 queued.pending_prefill = max(queued.pending_prefill, left)
                 queued.intervals.append(PrefillInterval(0.0, left))
@@ -202,7 +202,7 @@
         if reported is not None:
             # Jobs have ended since the report: count them down over its lifetime.
             age = now - self.reported_at
-            reported_jobs = int(reported.writing * (1.0 - age / REPORTED_LOAD_TTL_S))
+            reported_jobs = int(reported.decoding * (1.0 - age / REPORTED_LOAD_TTL_S))
             reported_event_gap = reported.event_gap
         return Occupancy(
             tuple(event_gaps),
--- a/src/scalebend/core/gateway/service_balancer.py
+++ b/src/scalebend/core/gateway/service_balancer.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from scalebend.models.calls import LoadReading
+from scalebend.models.calls import ReportedLoad
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import AvailabilityZone, UpstreamId
 
@@ -33,7 +33,7 @@
 
 class _Record(msgspec.Struct):
     open: int = 0
-    reading: LoadReading | None = None
+    reading: ReportedLoad | None = None
     read_at: float = 0.0
     failure_rate: float = 0.0
     failed_at: float = 0.0
@@ -82,7 +82,7 @@
     def record_ended(
         self,
         upstream: UpstreamId,
-        reading: LoadReading | None,
+        reading: ReportedLoad | None,
         now: float,
         *,
         has_failed: bool,
--- a/src/scalebend/core/gateway/update_batch.py
+++ b/src/scalebend/core/gateway/update_batch.py
@@ -9,7 +9,7 @@
 
 import math
 
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.models.ids import UpstreamId
 
 BATCH_INTERVAL_S = 0.1
@@ -21,10 +21,10 @@
     """Pending updates for the next message, the latest one of each upstream."""
 
     def __init__(self) -> None:
-        self._pending: dict[UpstreamId, EndpointNews] = {}
+        self._pending: dict[UpstreamId, EndpointUpdate] = {}
         self._due_at = -math.inf
 
-    def add(self, updates: list[EndpointNews], now: float) -> list[EndpointNews]:
+    def add(self, updates: list[EndpointUpdate], now: float) -> list[EndpointUpdate]:
         """Add updates; return those to send now.
 
         Updates on draining or gone upstreams are urgent, since these must receive no
@@ -38,11 +38,11 @@
             return self._take(now)
         return self.take_due(now)
 
-    def take_due(self, now: float) -> list[EndpointNews]:
+    def take_due(self, now: float) -> list[EndpointUpdate]:
         """Take all pending updates if the next message is due."""
         return self._take(now) if self._pending and now >= self._due_at else []
 
-    def _take(self, now: float) -> list[EndpointNews]:
+    def _take(self, now: float) -> list[EndpointUpdate]:
         taken = list(self._pending.values())
         self._pending.clear()
         self._due_at = now + BATCH_INTERVAL_S
--- a/src/scalebend/core/gateway/upstream_exchange.py
+++ b/src/scalebend/core/gateway/upstream_exchange.py
@@ -13,7 +13,7 @@
 
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.update_batch import UpdateBatch
-from scalebend.models.endpoints import Departure, Endpoint, EndpointNews
+from scalebend.models.endpoints import Deregistration, Endpoint, EndpointUpdate
 from scalebend.models.ids import UpstreamId
 
 logger = structlog.get_logger(__name__)
@@ -31,8 +31,8 @@
 class UpstreamUpdates(msgspec.Struct, frozen=True):
     """Updates to send now, to all other control instances and to all fronts."""
 
-    to_peers: list[EndpointNews]
-    to_fronts: list[EndpointNews]
+    to_peers: list[EndpointUpdate]
+    to_fronts: list[EndpointUpdate]
 
 
 class UpstreamExchange:
@@ -47,7 +47,7 @@
         self.changes = 0
         """Number of upstream changes so far; a new value outdates stored copies."""
 
-    def restore(self, updates: list[EndpointNews], now: float) -> None:
+    def restore(self, updates: list[EndpointUpdate], now: float) -> None:
         """Restore the upstreams known before a restart of this instance."""
         self.directory.restore(updates, self._restored_lifetime_s, now)
         logger.info("upstreams restored", count=len(self.directory.list_ids()))
@@ -61,9 +61,9 @@
         known = self.directory.get(endpoint.upstream)
         if known is None:
             return UpstreamUpdates([], [])
-        return self._queue([EndpointNews(known, is_gone=False)], [change], now)
+        return self._queue([EndpointUpdate(known, is_gone=False)], [change], now)
 
-    def deregister(self, departure: Departure, now: float) -> UpstreamUpdates:
+    def deregister(self, departure: Deregistration, now: float) -> UpstreamUpdates:
         """Deregister an upstream."""
         change = self.directory.deregister(departure, now)
         return self._queue([change], [change], now)
@@ -75,7 +75,7 @@
         changes = [self.directory.record_draining(one) for one in upstreams]
         return self._queue(changes, changes, now)
 
-    def merge(self, updates: list[EndpointNews], now: float) -> UpstreamUpdates:
+    def merge(self, updates: list[EndpointUpdate], now: float) -> UpstreamUpdates:
         """Apply updates of a peer, which sends them to the other peers itself."""
         changes = [self.directory.merge(one, now) for one in updates]
         return self._queue([], changes, now)
@@ -92,8 +92,8 @@
 
     def _queue(
         self,
-        to_peers: Iterable[EndpointNews | None],
-        changes: Iterable[EndpointNews | None],
+        to_peers: Iterable[EndpointUpdate | None],
+        changes: Iterable[EndpointUpdate | None],
         now: float,
     ) -> UpstreamUpdates:
         registrations = [one for one in to_peers if one is not None]
@@ -107,7 +107,7 @@
         )
 
 
-def _log_change(change: EndpointNews) -> None:
+def _log_change(change: EndpointUpdate) -> None:
     logger.info(
         "upstream changed",
         upstream=change.endpoint.upstream,
--- a/src/scalebend/core/orders.py
+++ b/src/scalebend/core/orders.py
@@ -18,7 +18,7 @@
 from scalebend.models.configuration import Configuration, Model
 from scalebend.models.ids import AvailabilityZone, ModelName, Term, UpstreamId
 from scalebend.models.orders import Order, SendOrder
-from scalebend.models.upstream import LoadedModel, UpstreamKindName, UpstreamState
+from scalebend.models.upstream import LoadedModel, UpstreamFamily, UpstreamState
 
 logger = structlog.get_logger(__name__)
 
@@ -245,7 +245,7 @@
 
 def _takes_orders(record: UpstreamRecord) -> bool:
     announcement = record.announcement
-    is_engine = announcement.family is UpstreamKindName.ENGINE
+    is_engine = announcement.family is UpstreamFamily.ENGINE
     return is_engine and announcement.state is UpstreamState.SERVING
 
 
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -149,9 +149,9 @@
             self._clear_reservations()
         elif announcement.incarnation < self._incarnation:
             return []
-        if announcement.state is UpstreamState.LEAVING and not self.is_draining:
+        if announcement.state is UpstreamState.DRAINING and not self.is_draining:
             self.is_draining = True
-            actions += self._refuse_all(RefusalReason.LEAVING)
+            actions += self._refuse_all(RefusalReason.DRAINING)
         elif announcement.state is UpstreamState.SERVING:
             self.is_draining = False
         self._record_unclaimed(announcement.running, now)
@@ -221,10 +221,10 @@
             # Its cancellation is unconfirmed: the engine would refuse to start it.
             return RefusalReason.NOT_OWNER
         if self.is_draining:
-            return RefusalReason.LEAVING
+            return RefusalReason.DRAINING
         if work.memory_tokens > self.ledger.capacity:
             return RefusalReason.TOO_LARGE
-        if self._estimate_wait(work) > work.patience:
+        if self._estimate_wait(work) > work.timeout_s:
             return RefusalReason.TOO_LATE
         return None
 
@@ -279,7 +279,7 @@
                 if is_over_share
                 else blocked_class
             )
-            if size_class <= blocked and not head.work.held_elsewhere:
+            if size_class <= blocked and not head.work.is_reserved_elsewhere:
                 continue
             if not self._fits_window(head.work, now):
                 blocked_class_over_share = max(blocked_class_over_share, size_class)
@@ -317,7 +317,7 @@
         return work.memory_tokens <= free
 
     def _fits_window(self, work: Work, now: float) -> bool:
-        if work.held_elsewhere:
+        if work.is_reserved_elsewhere:
             return True
         size_class = compute_size_class(work.prefill_tokens)
         if now < max(self._paced_until[: size_class + 1]):
--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -135,8 +135,8 @@
             memory_tokens=request.memory_tokens,
             prefill_tokens=0,
             output_tokens=request.output_tokens,
-            patience=request.deadline - now,
-            held_elsewhere=True,
+            timeout_s=request.deadline - now,
+            is_reserved_elsewhere=True,
         )
 
     def _split(self, model: ModelName, candidates: list[Candidate]) -> Lanes:
@@ -240,7 +240,7 @@
             memory_tokens=request.memory_tokens,
             prefill_tokens=choice.prefill_tokens,
             output_tokens=request.output_tokens,
-            patience=request.deadline - now - choice.prefill_seconds,
+            timeout_s=request.deadline - now - choice.prefill_seconds,
         )
         return Placed([work])
 
@@ -264,7 +264,7 @@
             upstream=group,
             reason="spread-over-group",
         )
-        patience = request.deadline - now
+        timeout_s = request.deadline - now
         works = []
         for number, upstream in enumerate(group):
             prefill_tokens = divide_up(request.prompt_tokens, len(group))
@@ -276,8 +276,8 @@
                 memory_tokens=divide_up(request.memory_tokens, len(group)),
                 prefill_tokens=prefill_tokens,
                 output_tokens=divide_up(request.output_tokens, len(group)),
-                patience=patience if number == 0 else min(GROUP_PATIENCE, patience),
-                held_elsewhere=number > 0,
+                timeout_s=timeout_s if number == 0 else min(GROUP_PATIENCE, timeout_s),
+                is_reserved_elsewhere=number > 0,
             )
             works.append(work)
         return Placed(works)
@@ -297,8 +297,8 @@
         memory_tokens: int,
         prefill_tokens: int,
         output_tokens: int,
-        patience: float,
-        held_elsewhere: bool = False,
+        timeout_s: float,
+        is_reserved_elsewhere: bool = False,
     ) -> Work:
         return Work(
             attempt=attempt,
@@ -309,9 +309,9 @@
             memory_tokens=memory_tokens,
             prefill_tokens=prefill_tokens,
             output_tokens=output_tokens,
-            patience=patience,
+            timeout_s=timeout_s,
             priority=request.priority,
-            held_elsewhere=held_elsewhere,
+            is_reserved_elsewhere=is_reserved_elsewhere,
         )
 
     def _log(self, request: Request, choice: Choice, part: str) -> None:
--- a/src/scalebend/core/queueing.py
+++ b/src/scalebend/core/queueing.py
@@ -105,7 +105,7 @@
 
     def is_expired(self, now: float) -> bool:
         """Whether the work can no longer start in time."""
-        return now - self.arrived >= self.work.patience
+        return now - self.arrived >= self.work.timeout_s
 
 
 Key = tuple[float, ...]
@@ -216,7 +216,7 @@
         return min(self.tokens, own * len(customers))
 
     def _find_group(self, work: Work) -> Group:
-        is_free = not work.held_elsewhere
+        is_free = not work.is_reserved_elsewhere
         size_class = compute_size_class(work.prefill_tokens)
         match self._policy:
             case FirstCome():
--- a/src/scalebend/core/request_limits.py
+++ b/src/scalebend/core/rate_limits.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED, HeardLimit, RequestLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit, RateLimit
 
 ABSENT_RETENTION_S = 60.0
 """Time for which the limit of an absent upstream is kept: one that only lost its
@@ -27,7 +27,7 @@
     absent_since: float | None = None
 
 
-class RequestLimits:
+class RateLimits:
     """Rate limits by upstream; the revision of a limit that ended is kept."""
 
     def __init__(self) -> None:
@@ -36,18 +36,18 @@
 
     # Changes
 
-    def apply(self, reported: HeardLimit) -> RequestLimit | None:
+    def apply(self, reported: ObservedLimit) -> RateLimit | None:
         """Apply the limit named in a response; return the new limit if it changed."""
         known = self.get(reported.upstream)
         if reported.rate == known.rate:
             return None
         if reported.rate > known.rate and reported.revision != known.revision:
             return None
-        changed = RequestLimit(reported.upstream, reported.rate, known.revision + 1)
+        changed = RateLimit(reported.upstream, reported.rate, known.revision + 1)
         self._put(changed)
         return changed
 
-    def merge(self, limits: Iterable[RequestLimit]) -> list[RequestLimit]:
+    def merge(self, limits: Iterable[RateLimit]) -> list[RateLimit]:
         """Merge the limits that another process knows; return those that changed."""
         changed = []
         for limit in limits:
@@ -59,7 +59,7 @@
                 changed.append(limit)
         return changed
 
-    def _put(self, limit: RequestLimit) -> None:
+    def _put(self, limit: RateLimit) -> None:
         self._records[limit.upstream] = _Record(limit.rate, limit.revision)
         if limit.rate < UNLIMITED:
             self._limited[limit.upstream] = None
@@ -68,12 +68,12 @@
 
     # Lookup
 
-    def get(self, upstream: UpstreamId) -> RequestLimit:
+    def get(self, upstream: UpstreamId) -> RateLimit:
         """The limit in force at an upstream."""
         record = self._records.get(upstream)
         if record is None:
-            return RequestLimit(upstream, UNLIMITED, 0)
-        return RequestLimit(upstream, record.rate, record.revision)
+            return RateLimit(upstream, UNLIMITED, 0)
+        return RateLimit(upstream, record.rate, record.revision)
 
     def is_limited(self, upstream: UpstreamId) -> bool:
         """Whether a limit is in force at an upstream."""
@@ -88,7 +88,7 @@
         """Number of upstreams with a limit in force."""
         return len(self._limited)
 
-    def list_all(self) -> list[RequestLimit]:
+    def list_all(self) -> list[RateLimit]:
         """All known limits for another process, including those that ended."""
         return [self.get(upstream) for upstream in self._records]
 
--- a/src/scalebend/core/send_budget.py
+++ b/src/scalebend/core/send_budget.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.models.ids import UpstreamId
 
 BURST_S = 0.25
@@ -118,7 +118,7 @@
 class SendBudget:
     """Send permits for rate-limited upstreams, within one share of their limits."""
 
-    def __init__(self, limits: RequestLimits, share: Share) -> None:
+    def __init__(self, limits: RateLimits, share: Share) -> None:
         self._limits = limits
         self._share = share
         self._pacers: dict[UpstreamId, _Pacer] = {}
--- a/src/scalebend/core/upstream_news.py
+++ b/src/scalebend/core/upstream_news.py
@@ -143,7 +143,7 @@
 
     def _take_crash(self, record: CrashRecord, now: float) -> None:
         """Learn what another instance saw, and pass on what is new."""
-        if not record.ended:
+        if not record.upstreams:
             if self._entry.crashes.ledger.clear([record.fingerprint]):
                 self._spread_crash(record)
             return
--- a/src/scalebend/edges/admin.py
+++ b/src/scalebend/edges/admin.py
@@ -189,15 +189,15 @@
                 return _answer(
                     ConflictAnswer(
                         error.kind.value,
-                        error.answer.title,
-                        error.answer.status,
+                        error.response.title,
+                        error.response.status,
                         error.detail,
                         Ran.NO.value,
                         winner.version,
                         winner.change,
                         winner.operator,
                     ),
-                    status=error.answer.status,
+                    status=error.response.status,
                 )
             case _:
                 raise ScalebendError(
--- a/src/scalebend/edges/exchange.py
+++ b/src/scalebend/edges/exchange.py
@@ -34,7 +34,7 @@
 from scalebend.exceptions import ScalebendError
 from scalebend.models.ids import AttemptId, RequestId, UpstreamId
 from scalebend.models.work import Request
-from scalebend.utils.decimals import read_decimal
+from scalebend.utils.decimals import parse_decimal
 from scalebend.utils.division import divide_up
 
 logger = structlog.get_logger(__name__)
@@ -344,7 +344,7 @@
 
 def _read_retry_after(answer: aiohttp.ClientResponse) -> float | None:
     """Seconds, if the upstream names any."""
-    return read_decimal(answer.headers.get("Retry-After"))
+    return parse_decimal(answer.headers.get("Retry-After"))
 
 
 class _UpstreamProblem(msgspec.Struct):
--- a/src/scalebend/edges/gateway/answer_news.py
+++ b/src/scalebend/edges/gateway/answer_news.py
@@ -5,15 +5,15 @@
 import structlog
 
 from scalebend.edges.gateway.front_runtime import FrontRuntime
-from scalebend.models.calls import AnswerHeaders, Call
+from scalebend.models.calls import Call, ResponseHeaders
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED, HeardLimit, RequestLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit, RateLimit
 
 logger = structlog.get_logger(__name__)
 
 
 def hear_answer(
-    runtime: FrontRuntime, call: Call, known: RequestLimit, read: AnswerHeaders
+    runtime: FrontRuntime, call: Call, known: RateLimit, read: ResponseHeaders
 ) -> None:
     """Take the head of an answer to ``call``; ``known`` is from before it was sent.
 
@@ -21,7 +21,7 @@
     """
     if read.request not in (None, call.headers.request):
         return
-    for name in read.unknown_words:
+    for name in read.unknown_headers:
         runtime.note_unknown_word(known.upstream, name)
     _hear_limit(runtime, known, read)
     _hear_backoff(runtime, call, known.upstream, read)
@@ -31,20 +31,18 @@
         )
 
 
-def _hear_limit(
-    runtime: FrontRuntime, known: RequestLimit, read: AnswerHeaders
-) -> None:
+def _hear_limit(runtime: FrontRuntime, known: RateLimit, read: ResponseHeaders) -> None:
     """That there is no limit follows only from an answer to a request that ran."""
-    if read.request_limit is None:
+    if read.rate_limit is None:
         return
-    if read.has_not_run and read.request_limit == UNLIMITED:
+    if read.has_not_run and read.rate_limit == UNLIMITED:
         return
-    heard = HeardLimit(known.upstream, read.request_limit, known.revision)
+    heard = ObservedLimit(known.upstream, read.rate_limit, known.revision)
     runtime.hear_limit(heard)
 
 
 def _hear_backoff(
-    runtime: FrontRuntime, call: Call, upstream: UpstreamId, read: AnswerHeaders
+    runtime: FrontRuntime, call: Call, upstream: UpstreamId, read: ResponseHeaders
 ) -> None:
     if read.has_unreadable_backoff:
         logger.info(
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -30,9 +30,9 @@
 from scalebend.edges.gateway.upstream_choice import Target, UpstreamChoice
 from scalebend.edges.gateway.upstream_client import build_timeout
 from scalebend.exceptions import ErrorKind, RefusedError, UpstreamError
-from scalebend.models.calls import AnswerHeaders, Call, Outcome
+from scalebend.models.calls import Call, Outcome, ResponseHeaders
 from scalebend.models.ids import Fingerprint, UpstreamId
-from scalebend.models.request_limits import UNLIMITED, RequestLimit
+from scalebend.models.rate_limits import UNLIMITED, RateLimit
 from scalebend.models.routing import RouteKind
 from scalebend.platform.headers import (
     build_upstream_headers,
@@ -83,7 +83,7 @@
         """Whether one that takes part was found missing; others may be, too."""
         if self.outcome is Outcome.NOT_SENT:
             return True
-        is_unused = self.outcome in (Outcome.REJECTED, Outcome.LEFT)
+        is_unused = self.outcome in (Outcome.REJECTED, Outcome.WITHDRAWN)
         return is_unused and self.faulty is not None
 
 
@@ -168,16 +168,16 @@
         faulty = ended.faulty or target.upstream
         if ended.is_cut:
             runtime.note_lost(self._fingerprint, faulty)
-        if ended.outcome in (Outcome.SILENT, Outcome.TIMED_OUT):
+        if ended.outcome in (Outcome.UNRESPONSIVE, Outcome.TIMED_OUT):
             runtime.note_unanswered(self._fingerprint, target.upstream)
-        if ended.outcome in (Outcome.NOT_SENT, Outcome.SILENT):
+        if ended.outcome in (Outcome.NOT_SENT, Outcome.UNRESPONSIVE):
             runtime.instance.balancer.record_unreachable(target.upstream, runtime.now())
         # Silence alone may be a queue: reports tell whether the replica is alive.
         if ended.outcome is Outcome.NOT_SENT:
             runtime.note_replica_failure(faulty)
         if ended.outcome is Outcome.REJECTED and target.job is not None:
             runtime.record_rejection(faulty)
-        if ended.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
+        if ended.outcome in (Outcome.FAILED, Outcome.INTERRUPTED, Outcome.NOT_SENT):
             runtime.instance.record_outcome(faulty, has_failed=True)
         decision = self._attempts.decide(
             ended.outcome,
@@ -222,13 +222,13 @@
 
     async def _attempt(self, target: Target) -> _Ended:
         if target.lost is not None:
-            return _Ended(Outcome.LEFT, detail="not sent", faulty=target.lost)
+            return _Ended(Outcome.WITHDRAWN, detail="not sent", faulty=target.lost)
         if self._compute_hold() > 0.0:
             # It became known while the request waited for its turn.
-            return _Ended(Outcome.LEFT, detail="held back")
+            return _Ended(Outcome.WITHDRAWN, detail="held back")
         if not self._runtime.instance.may_send(target.upstream, self._runtime.now()):
             # It said so after it was chosen: in answers, or by its registration.
-            return _Ended(Outcome.LEFT, detail="takes nothing now")
+            return _Ended(Outcome.WITHDRAWN, detail="takes nothing now")
         attempts = self._runtime.attempts
         with attempts.watch(self._call.deadline, target.upstreams) as running:
             try:
@@ -240,23 +240,26 @@
             except aiohttp.ClientConnectorError as error:
                 return _Ended(Outcome.NOT_SENT, detail=str(error))
             except SilentError:
-                return _Ended(Outcome.SILENT)
+                return _Ended(Outcome.UNRESPONSIVE)
             except (aiohttp.ClientError, OSError, GarbledEventsError) as error:
                 if not running.limit.expired():
                     detail = f"{type(error).__name__}: {error}"
                     is_cut = isinstance(error, _CUT_ERRORS)
-                    return _Ended(Outcome.BROKEN, detail=detail, is_cut=is_cut)
+                    return _Ended(Outcome.INTERRUPTED, detail=detail, is_cut=is_cut)
             if running.ended_with is None:
                 return _Ended(Outcome.TIMED_OUT)
             detail = f"{running.ended_with} started again"
             return _Ended(
-                Outcome.BROKEN, detail=detail, faulty=running.ended_with, is_cut=True
+                Outcome.INTERRUPTED,
+                detail=detail,
+                faulty=running.ended_with,
+                is_cut=True,
             )
 
     async def _exchange(self, target: Target, running: RunningAttempt) -> _Ended:
         call = self._call
         # After a connection that broke or fell silent, a pooled one may be as dead.
-        may_pool = call.route.may_repeat and not self._attempts.may_have_run
+        may_pool = call.route.is_idempotent and not self._attempts.may_have_run
         session = self._runtime.sessions.choose(may_pool=may_pool)
         patience = self._compute_patience(target)
         sending = session.request(
@@ -274,7 +277,7 @@
             hear_answer(self._runtime, call, limit, read)
             return await self._take_answer(target, running, answer, read, patience)
 
-    def _note_sent(self, target: Target) -> RequestLimit:
+    def _note_sent(self, target: Target) -> RateLimit:
         """Count an attempt; return the limit of its upstream as known now."""
         runtime = self._runtime
         limit = runtime.instance.limits.get(target.upstream)
@@ -322,7 +325,7 @@
         )
 
     def _compute_patience(self, target: Target) -> float | None:
-        if not self._call.route.may_repeat:
+        if not self._call.route.is_idempotent:
             return None
         return compute_first_byte_timeout(self._call.route, target.predicted)
 
@@ -331,13 +334,13 @@
         target: Target,
         running: RunningAttempt,
         answer: aiohttp.ClientResponse,
-        read: AnswerHeaders,
+        read: ResponseHeaders,
         patience: float | None,
     ) -> _Ended:
         self._choice.load = read.load
         if read.request is not None and read.request != self._call.headers.request:
             answer.close()
-            return _Ended(Outcome.BROKEN, detail="answer to another request")
+            return _Ended(Outcome.INTERRUPTED, detail="answer to another request")
         if read.has_not_run and answer.status >= 400:
             await read_whole(answer, patience)
             detail = f"status {answer.status}"
@@ -385,7 +388,9 @@
             stream = self._stream or await self._open_stream(answer)
             await stream.write(passed.data)
         if cursor.has_partial:
-            return _Ended(Outcome.BROKEN, detail="ended inside an event", is_cut=True)
+            return _Ended(
+                Outcome.INTERRUPTED, detail="ended inside an event", is_cut=True
+            )
         stream = self._stream or await self._open_stream(answer)
         await stream.write_eof()
         return _Ended(Outcome.ANSWERED, stream)
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -34,9 +34,9 @@
 from scalebend.edges.gateway.links import HEARTBEAT, Dialer
 from scalebend.edges.gateway.metrics import GatewayMetrics
 from scalebend.edges.gateway.running_attempts import RunningAttempts
-from scalebend.models.calls import LoadReading
+from scalebend.models.calls import ReportedLoad
 from scalebend.models.gateway_settings import GatewaySettings
-from scalebend.models.ids import Fingerprint, InstanceId, SendId, UpstreamId
+from scalebend.models.ids import Fingerprint, InstanceId, SendPermitId, UpstreamId
 from scalebend.models.placement import (
     Decision,
     Declined,
@@ -46,7 +46,7 @@
     Placement,
     build_job_id,
 )
-from scalebend.models.request_limits import HeardLimit
+from scalebend.models.rate_limits import ObservedLimit
 
 if TYPE_CHECKING:
     from scalebend.edges.gateway.inspection import Inspector
@@ -279,7 +279,7 @@
         Without an answer this front has its own turns, and tells what it sends.
         """
         self._sends += 1
-        question = SendPermitRequest(SendId(self._sends), upstreams, patience)
+        question = SendPermitRequest(SendPermitId(self._sends), upstreams, patience)
         answer = await self._leader_calls.request_send(self.instance.leader, question)
         if answer is not None:
             return answer
@@ -288,7 +288,7 @@
             self._execute(self.instance.record_uncoordinated_send(alone.upstream))
         return alone
 
-    def note_first_token(self, job: JobId, load: LoadReading | None) -> None:
+    def note_first_token(self, job: JobId, load: ReportedLoad | None) -> None:
         """The first event of a job came, with the replica's own count of its load."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
@@ -316,7 +316,7 @@
             return False
         return self._inspector.is_queueing(upstream, self.now())
 
-    def hear_limit(self, heard: HeardLimit) -> None:
+    def hear_limit(self, heard: ObservedLimit) -> None:
         """An upstream's answer named the requests a second that it takes, or none."""
         self._execute(self.instance.record_limit(heard, self.now()))
 
--- a/src/scalebend/edges/gateway/leader_calls.py
+++ b/src/scalebend/edges/gateway/leader_calls.py
@@ -15,7 +15,7 @@
     SendPermitRequest,
 )
 from scalebend.core.gateway.timeouts import LEADER_BACKOFF_S, PLACEMENT_TIMEOUT_S
-from scalebend.models.ids import InstanceId, SendId
+from scalebend.models.ids import InstanceId, SendPermitId
 from scalebend.models.placement import EngineWork, JobId
 
 logger = structlog.get_logger(__name__)
@@ -29,7 +29,7 @@
     def __init__(self, send: Callable[[InstanceId, LinkMessage], object]) -> None:
         self._send = send
         self._loop = asyncio.get_running_loop()
-        self._waiting: dict[JobId | SendId, asyncio.Future[_Answer]] = {}
+        self._waiting: dict[JobId | SendPermitId, asyncio.Future[_Answer]] = {}
         self._paused_until = 0.0
 
     def take(self, message: LinkMessage) -> bool:
@@ -68,7 +68,7 @@
     async def _ask(
         self,
         leader: InstanceId | None,
-        name: JobId | SendId,
+        name: JobId | SendPermitId,
         question: PlacementRequest | SendPermitRequest,
         *,
         may_pause: bool,
--- a/src/scalebend/edges/gateway/reservations.py
+++ b/src/scalebend/edges/gateway/reservations.py
@@ -95,7 +95,7 @@
 async def _reserve(
     runtime: FrontRuntime, work: EngineWork, helper: Helper
 ) -> int | None:
-    hold = min(HOLD, runtime.settings.bounds.hold_most)
+    hold = min(HOLD, runtime.settings.bounds.max_reservation_s)
     body = encode_reservation(work.job, helper.tokens, hold)
     status = await _order(runtime, helper, body)
     logger.info(
--- a/src/scalebend/edges/gateway/upstream_choice.py
+++ b/src/scalebend/edges/gateway/upstream_choice.py
@@ -16,7 +16,7 @@
 from scalebend.edges.gateway.front_runtime import FrontRuntime
 from scalebend.edges.gateway.reservations import HolderSilentError, hold_memory
 from scalebend.edges.gateway.service_choice import choose_with_room
-from scalebend.models.calls import Call, LoadReading
+from scalebend.models.calls import Call, ReportedLoad
 from scalebend.models.ids import Fingerprint, InstanceId, UpstreamId
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 
@@ -88,7 +88,7 @@
         self._call = call
         self._excluded = excluded
         self._lateness: asyncio.TimerHandle | None = None
-        self.load: LoadReading | None = None
+        self.load: ReportedLoad | None = None
         """The chosen upstream's own count of its load, once it answered."""
 
         self.has_failed = True
@@ -237,8 +237,8 @@
             job=self._runtime.build_job_id(),
             service=call.service,
             prompt_tokens=prompt.prompt,
-            output_tokens=prompt.output_most,
-            expected_tokens=prompt.output_expected,
+            output_tokens=prompt.max_output_tokens,
+            expected_tokens=prompt.expected_output_tokens,
             target=route.target_latency,
             event_gap=route.event_gap or route.target_latency,
             remaining=call.deadline - self._runtime.now(),
--- a/src/scalebend/edges/problems.py
+++ b/src/scalebend/edges/problems.py
@@ -26,7 +26,7 @@
 
 def build_problem(error: ScalebendError, request: str = "") -> Problem:
     """Return the problem document of an error."""
-    answer = error.answer
+    answer = error.response
     return Problem(
         error.kind.value,
         answer.title,
@@ -41,7 +41,7 @@
 def build_problem_body(error: ScalebendError, request: str = "") -> web.Response:
     """Return the HTTP answer of an error, without ``Retry-After``."""
     return web.Response(
-        status=error.answer.status,
+        status=error.response.status,
         body=msgspec.json.encode(build_problem(error, request)),
         content_type=CONTENT_TYPE,
     )
--- a/src/scalebend/edges/request_parser.py
+++ b/src/scalebend/edges/request_parser.py
@@ -136,7 +136,7 @@
         prompt_tokens=tokens,
         output_tokens=output_tokens,
         priority=read_priority(headers),
-        repeatable=is_repeatable,
+        is_idempotent=is_repeatable,
         is_streamed=fields.stream,
         idempotency_key=key,
         fingerprint=_compute_fingerprint(http_request.path, body) if key else "",
@@ -181,7 +181,7 @@
         deadline=now + read_time_limit(headers, instance),
         service=service.service,
         priority=read_priority(headers),
-        repeatable=is_repeatable,
+        is_idempotent=is_repeatable,
         is_streamed=False,
         idempotency_key=key,
         fingerprint=_compute_fingerprint(f"{method} {path}", body) if key else "",
@@ -202,7 +202,7 @@
     ]
     if matching:
         longest = max(matching, key=lambda call: len(call.path))
-        return longest.repeatable
+        return longest.is_idempotent
     return method in SAFE_METHODS
 
 
--- a/src/scalebend/exceptions.py
+++ b/src/scalebend/exceptions.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds, the answer to each, and the exception tree.
+"""Error kinds, the HTTP response to each, and the exception classes.
 
-Every failure that a caller, an operator or an upstream can meet has exactly one
-:class:`ErrorKind`. :data:`ANSWERS` maps each kind to its HTTP status; the page
+Every failure reported to a caller, an operator or an upstream has exactly one
+:class:`ErrorKind`. :data:`ERROR_RESPONSES` maps each kind to its HTTP status; the page
 ``docs/errors.md`` is generated from it.
 """
 
@@ -13,7 +13,7 @@
 
 
 class Ran(Enum):
-    """What is known of whether the upstream executed the request."""
+    """Whether the upstream ran the request, as far as known."""
 
     NO = "no"
     YES = "yes"
@@ -53,8 +53,8 @@
     INTERNAL = "internal"
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """How a kind is answered.
+class ErrorResponse(msgspec.Struct, frozen=True):
+    """The response to an error kind.
 
     ``status`` is the HTTP status; ``retryable`` tells the caller that the same
     request may succeed later; ``title`` is the short text of the problem document.
@@ -65,54 +65,68 @@
     title: str
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.MALFORMED_REQUEST: Answer(400, False, "The request is malformed"),
-    ErrorKind.INVALID_TIME_LIMIT: Answer(400, False, "The time limit is not valid"),
-    ErrorKind.UNKNOWN_KEY: Answer(401, False, "The key is unknown"),
-    ErrorKind.FORBIDDEN: Answer(403, False, "The key does not allow this"),
-    ErrorKind.UNKNOWN_MODEL: Answer(404, False, "The model is not configured"),
-    ErrorKind.UNKNOWN_SERVICE: Answer(404, False, "The service is not configured"),
-    ErrorKind.NOT_FOUND: Answer(404, False, "There is nothing at this path"),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, False, "The body is too large"),
-    ErrorKind.PROMPT_TOO_LONG: Answer(413, False, "The prompt fits no replica set"),
-    ErrorKind.MISSING_IDEMPOTENCY_KEY: Answer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED_REQUEST: ErrorResponse(400, False, "The request is malformed"),
+    ErrorKind.INVALID_TIME_LIMIT: ErrorResponse(
+        400, False, "The time limit is not valid"
+    ),
+    ErrorKind.UNKNOWN_KEY: ErrorResponse(401, False, "The key is unknown"),
+    ErrorKind.FORBIDDEN: ErrorResponse(403, False, "The key does not allow this"),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(404, False, "The model is not configured"),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(
+        404, False, "The service is not configured"
+    ),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, False, "There is nothing at this path"),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, False, "The body is too large"),
+    ErrorKind.PROMPT_TOO_LONG: ErrorResponse(
+        413, False, "The prompt fits no replica set"
+    ),
+    ErrorKind.MISSING_IDEMPOTENCY_KEY: ErrorResponse(
         428, False, "This call requires an Idempotency-Key"
     ),
-    ErrorKind.IDEMPOTENCY_CONFLICT: Answer(
+    ErrorKind.IDEMPOTENCY_CONFLICT: ErrorResponse(
         422, False, "The Idempotency-Key was used with another request"
     ),
-    ErrorKind.ALREADY_CLAIMED: Answer(
+    ErrorKind.ALREADY_CLAIMED: ErrorResponse(
         409, False, "A request with this Idempotency-Key was already started"
     ),
-    ErrorKind.CUSTOMER_LIMIT: Answer(429, True, "The customer's limit is reached"),
-    ErrorKind.OVERLOADED: Answer(503, True, "The fleet is overloaded"),
-    ErrorKind.NO_UPSTREAM: Answer(503, True, "No upstream can take the request"),
-    ErrorKind.NOT_READY: Answer(503, True, "The instance does not admit requests"),
-    ErrorKind.ENDS_UPSTREAMS: Answer(
+    ErrorKind.CUSTOMER_LIMIT: ErrorResponse(
+        429, True, "The customer's limit is reached"
+    ),
+    ErrorKind.OVERLOADED: ErrorResponse(503, True, "The fleet is overloaded"),
+    ErrorKind.NO_UPSTREAM: ErrorResponse(503, True, "No upstream can take the request"),
+    ErrorKind.NOT_READY: ErrorResponse(
+        503, True, "The instance does not admit requests"
+    ),
+    ErrorKind.ENDS_UPSTREAMS: ErrorResponse(
         503, True, "Upstreams ended while they ran this request"
     ),
-    ErrorKind.NO_QUORUM: Answer(503, True, "The control group has no quorum"),
-    ErrorKind.TIME_LIMIT: Answer(504, True, "The time limit was reached"),
-    ErrorKind.UPSTREAM_FAILED: Answer(502, True, "The upstream failed"),
-    ErrorKind.UPSTREAM_GARBLED: Answer(502, True, "The upstream's answer is not valid"),
-    ErrorKind.CANCELLED: Answer(499, False, "The caller cancelled the request"),
-    ErrorKind.INVALID_ANNOUNCEMENT: Answer(400, False, "The announcement is not valid"),
-    ErrorKind.INVALID_SETTINGS: Answer(400, False, "The settings are not valid"),
-    ErrorKind.INVALID_CONFIGURATION: Answer(
+    ErrorKind.NO_QUORUM: ErrorResponse(503, True, "The control group has no quorum"),
+    ErrorKind.TIME_LIMIT: ErrorResponse(504, True, "The time limit was reached"),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(502, True, "The upstream failed"),
+    ErrorKind.UPSTREAM_GARBLED: ErrorResponse(
+        502, True, "The upstream's answer is not valid"
+    ),
+    ErrorKind.CANCELLED: ErrorResponse(499, False, "The caller cancelled the request"),
+    ErrorKind.INVALID_ANNOUNCEMENT: ErrorResponse(
+        400, False, "The announcement is not valid"
+    ),
+    ErrorKind.INVALID_SETTINGS: ErrorResponse(400, False, "The settings are not valid"),
+    ErrorKind.INVALID_CONFIGURATION: ErrorResponse(
         400, False, "The configuration is not valid"
     ),
-    ErrorKind.CONFIGURATION_CONFLICT: Answer(
+    ErrorKind.CONFIGURATION_CONFLICT: ErrorResponse(
         409, False, "Another configuration was accepted first"
     ),
-    ErrorKind.STORAGE_DAMAGED: Answer(500, False, "Stored state is damaged"),
-    ErrorKind.INTERNAL: Answer(500, True, "Internal error"),
+    ErrorKind.STORAGE_DAMAGED: ErrorResponse(500, False, "Stored state is damaged"),
+    ErrorKind.INTERNAL: ErrorResponse(500, True, "Internal error"),
 }
 
 
 class ScalebendError(Exception):
-    """Base of every error that scalebend raises on purpose.
+    """Base class of the errors that scalebend raises.
 
-    ``retry_after`` is in seconds, or ``None`` where no return time is known.
+    ``retry_after`` is in seconds, or ``None`` if unknown.
     """
 
     kind = ErrorKind.INTERNAL
@@ -132,25 +146,25 @@
         self.retry_after = retry_after
 
     @property
-    def answer(self) -> Answer:
-        """The answer that belongs to this error's kind."""
-        return ANSWERS[self.kind]
+    def response(self) -> ErrorResponse:
+        """The response to this error's kind."""
+        return ERROR_RESPONSES[self.kind]
 
 
 class RequestError(ScalebendError):
-    """The request itself cannot be served as it was sent."""
+    """The request is invalid."""
 
     kind = ErrorKind.MALFORMED_REQUEST
 
 
 class RefusedError(ScalebendError):
-    """The request was refused before anything ran."""
+    """The request was rejected before it ran."""
 
     kind = ErrorKind.OVERLOADED
 
 
 class UpstreamError(ScalebendError):
-    """An upstream failed while it held the request."""
+    """An upstream failed while it processed the request."""
 
     kind = ErrorKind.UPSTREAM_FAILED
 
@@ -162,19 +176,19 @@
 
 
 class ClaimError(ScalebendError):
-    """A request that is not to be repeated could not claim its key."""
+    """A non-idempotent request could not claim its idempotency key."""
 
     kind = ErrorKind.ALREADY_CLAIMED
 
 
 class StorageError(ScalebendError):
-    """Durable state cannot be read or written."""
+    """Stored state is damaged or incomplete."""
 
     kind = ErrorKind.STORAGE_DAMAGED
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault of a JSON document: its JSON path and what was expected there."""
+    """An error in a JSON document: its JSON path and what was expected there."""
 
     path: str
     expected: str
--- a/src/scalebend/measuring/changes.py
+++ b/src/scalebend/measuring/changes.py
@@ -20,7 +20,7 @@
     InstanceId,
 )
 from scalebend.storage.journal import Journal, open_journal
-from scalebend.utils.quantiles import read_quantile
+from scalebend.utils.quantiles import compute_quantile
 
 CHANGES = 60
 CHANGE_GAP = 0.7
@@ -68,9 +68,9 @@
         gaps.append(_lose_leader(lost))
     return SpreadFigures(
         instances,
-        read_quantile(spread, 0.5),
-        read_quantile(spread, 0.99),
-        read_quantile(gaps, 0.5),
+        compute_quantile(spread, 0.5),
+        compute_quantile(spread, 0.99),
+        compute_quantile(gaps, 0.5),
         max(gaps),
     )
 
--- a/src/scalebend/measuring/engine_passes.py
+++ b/src/scalebend/measuring/engine_passes.py
@@ -75,7 +75,7 @@
         """The whole prompt was read: answer from the next pass on."""
         self._writing[writing.job] = writing
 
-    def is_writing(self, job: int) -> bool:
+    def is_decoding(self, job: int) -> bool:
         """Whether more events of a request are to come."""
         return job in self._writing
 
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -65,7 +65,7 @@
 from scalebend.models.upstream import (
     Announcement,
     LoadedModel,
-    UpstreamKindName,
+    UpstreamFamily,
     UpstreamState,
 )
 from scalebend.models.work import Request
@@ -388,7 +388,7 @@
             arrived=self.now,
             deadline=self.now + 20.0,
             service=SERVICE,
-            repeatable=False,
+            is_idempotent=False,
             is_streamed=False,
             idempotency_key=IdempotencyKey(key),
             fingerprint=key,
@@ -646,12 +646,14 @@
         parameters = self.scenario.parameters
         announcement = Announcement(
             upstream=upstream,
-            family=UpstreamKindName.ENGINE,
+            family=UpstreamFamily.ENGINE,
             address="127.0.0.1:1",
             incarnation=Incarnation(engine.incarnation),
             availability_zone=engine.zone,
             sequence=engine.sequence,
-            state=UpstreamState.LEAVING if engine.is_leaving else UpstreamState.SERVING,
+            state=UpstreamState.DRAINING
+            if engine.is_leaving
+            else UpstreamState.SERVING,
             models=[LoadedModel(MODEL)],
             memory_tokens=parameters.memory_tokens,
             concurrency=parameters.concurrency,
@@ -667,7 +669,7 @@
         self.call_at(self.now + ANNOUNCE_PERIOD, work)
         announcement = Announcement(
             upstream=upstream,
-            family=UpstreamKindName.SERVICE,
+            family=UpstreamFamily.SERVICE,
             address="127.0.0.1:1",
             incarnation=Incarnation(1),
             availability_zone=self._services[upstream],
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -79,7 +79,7 @@
 
     began: float
     unread: set[int]
-    is_writing: bool = False
+    is_decoding: bool = False
     is_over: bool = False
 
 
@@ -201,8 +201,8 @@
             job=name,
             service=SERVICE,
             prompt_tokens=arrival.prompt,
-            output_tokens=arrival.events * self._profile.steps_per_pass,
-            expected_tokens=arrival.events * self._profile.steps_per_pass,
+            output_tokens=arrival.events * self._profile.decode_steps_per_batch_step,
+            expected_tokens=arrival.events * self._profile.decode_steps_per_batch_step,
             target=arrival.kind.target,
             event_gap=arrival.kind.event_gap,
             remaining=remaining,
@@ -268,7 +268,7 @@
 
     def _note_open(self, job: _Job) -> None:
         """Whoever did not place the job hears of it: its front, or the leader."""
-        opened = OpenJob(job.work, job.placement, is_writing=False)
+        opened = OpenJob(job.work, job.placement, is_decoding=False)
         front = self._fronts[job.result.arrival.front]
         front.forget(job.work.job)
         front.adopt(opened, self._profile, self._now)
@@ -322,7 +322,7 @@
             if job.is_over:
                 continue
             opened = OpenJob(
-                job.work, job.placement, job.is_writing, self._now - job.began
+                job.work, job.placement, job.is_decoding, self._now - job.began
             )
             for cell in self._find_told(job):
                 cell.scheduler.adopt(opened, self._profile, self._now)
@@ -436,7 +436,7 @@
             self._note_read(job, number)
         for job in ended.written:
             self._note_event(job)
-            if not engine.is_writing(job):
+            if not engine.is_decoding(job):
                 self._finish(job)
         self._wake(number)
 
@@ -462,8 +462,8 @@
             return
         result = job.result
         seen = self._now + SEND_TIME - result.arrival.at
-        if not job.is_writing:
-            job.is_writing = True
+        if not job.is_decoding:
+            job.is_decoding = True
             self._tell(job, is_ended=False)
         if result.first_event is None:
             result.first_event = seen
--- a/src/scalebend/measuring/placement_scenario.py
+++ b/src/scalebend/measuring/placement_scenario.py
@@ -33,12 +33,12 @@
         return EngineProfile(
             slots=self.slots,
             memory_tokens=self.memory_tokens,
-            steps_per_pass=self.steps_per_pass,
+            decode_steps_per_batch_step=self.steps_per_pass,
             step_ms=self.step_ms,
             per_sequence_ms=self.per_sequence_ms,
             context_ms_per_thousand=self.context_ms_per_thousand,
-            read_tokens_per_second=self.read_tokens_per_second,
-            pairs_ms_per_million=self.pairs_ms_per_million,
+            prefill_tokens_per_second=self.read_tokens_per_second,
+            attention_ms_per_million_pairs=self.pairs_ms_per_million,
         )
 
 
--- a/src/scalebend/measuring/placement_table.py
+++ b/src/scalebend/measuring/placement_table.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from scalebend.measuring.placement_results import Decider, Result
-from scalebend.utils.quantiles import read_quantile
+from scalebend.utils.quantiles import compute_quantile
 
 WINDOW = 2.0
 """Seconds of one window of arrivals; the two worst of a run are told."""
@@ -67,8 +67,8 @@
         worth=_compute_part(of_kind),
         in_time=statistics.fmean(result.is_in_time for result in of_kind),
         refused=sum(result.refusals > 0 for result in of_kind),
-        first_event_p50=read_quantile(firsts, 0.5),
-        first_event_p95=read_quantile(firsts, 0.95),
+        first_event_p50=compute_quantile(firsts, 0.5),
+        first_event_p95=compute_quantile(firsts, 0.95),
     )
 
 
--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -18,7 +18,7 @@
 )
 from scalebend.standins.load import Band
 from scalebend.utils.division import divide_up
-from scalebend.utils.quantiles import read_quantile
+from scalebend.utils.quantiles import compute_quantile
 
 NETWORK_TIME = 0.004
 """Seconds that an idle fleet adds to a request: hops to the owner and the engine."""
@@ -195,18 +195,18 @@
         first.append(outcome.first_token - planned.at + NETWORK_TIME / 2)
         idle_first.append(idle.first_token)
         slowdowns.append((outcome.ended - planned.at) / idle.duration)
-    idle_p95 = read_quantile(idle_first, 0.95)
-    p95 = read_quantile(first, 0.95)
+    idle_p95 = compute_quantile(idle_first, 0.95)
+    p95 = compute_quantile(first, 0.95)
     return BandFigures(
         band.label,
         len(mine),
         len(mine) - len(whole),
-        read_quantile(first, 0.5),
+        compute_quantile(first, 0.5),
         p95,
         idle_p95,
         p95 / idle_p95 if idle_p95 else 0.0,
-        read_quantile(slowdowns, 0.5),
-        read_quantile(slowdowns, 0.95),
+        compute_quantile(slowdowns, 0.5),
+        compute_quantile(slowdowns, 0.95),
     )
 
 
--- a/src/scalebend/models/__init__.py
+++ b/src/scalebend/models/__init__.py
@@ -1,1 +1,1 @@
-"""Data classes shared by every layer; no behaviour beyond derivation."""
+"""Data classes shared by all layers; their methods only derive values."""
--- a/src/scalebend/models/calls.py
+++ b/src/scalebend/models/calls.py
@@ -1,4 +1,4 @@
-"""One request on its way through a front, and what an upstream answered."""
+"""A request that a front forwards, and the upstream's response. Times in seconds."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class PromptSize(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens of a request: its prompt, and how many may come out."""
+    """Prompt and output tokens of a request, as its caller states them."""
 
     prompt: int
-    output_most: int
-    output_expected: int
+    max_output_tokens: int = msgspec.field(name="output_most")
+    expected_output_tokens: int = msgspec.field(name="output_expected")
 
 
 class CallerHeaders(msgspec.Struct, frozen=True):
-    """What the gateway reads of a request's headers."""
+    """Request headers that the gateway reads."""
 
     request: str
-    """The caller's id of this attempt; passed on unchanged."""
+    """Request id set by the caller, forwarded unchanged."""
 
     wait: float | None
-    """Seconds that the caller will wait; ``None`` when it did not say."""
+    """Seconds that the caller will wait; ``None`` if not stated."""
 
     key: str | None
     last_event: int | None
-    """Id of the last event that the caller has, when it resumes a stream."""
+    """Id of the last event that the caller received, if it resumes a stream."""
 
     prompt: PromptSize | None
 
 
 class Call(msgspec.Struct, frozen=True):
-    """A request that was admitted; times are on the front's steady clock."""
+    """An admitted request; times are on the front's monotonic clock."""
 
     headers: CallerHeaders
     route: Route
@@ -47,46 +47,46 @@
 
     arrived: float
     deadline: float
-    """When the caller, or the route's timeout, ends the request."""
+    """When the caller's wait or the route's timeout ends, whichever is earlier."""
 
 
-class LoadReading(msgspec.Struct, frozen=True):
-    """An upstream's own count of its load, sent with an answer."""
+class ReportedLoad(msgspec.Struct, frozen=True):
+    """Load that an upstream reports in a response."""
 
     running: int
     waiting: int
     slots: int
 
 
-class AnswerHeaders(msgspec.Struct, frozen=True):
-    """What the gateway reads of an upstream's answer."""
+class ResponseHeaders(msgspec.Struct, frozen=True):
+    """Response headers of an upstream that the gateway reads."""
 
     request: str | None
-    """Echo of the request's id; another id means another request's answer."""
+    """Echoed request id; a different id marks the response to another request."""
 
     has_not_run: bool
     """Whether the upstream declares that it did not run the request."""
 
-    load: LoadReading | None
+    load: ReportedLoad | None
     faulty_address: str | None
-    """Which of several upstreams caused the failure."""
+    """Address of the upstream that caused the failure, where several took part."""
 
-    request_limit: float | None
-    """Requests a second that the upstream takes from all fronts together, ``UNLIMITED``
-    when it names no limit; ``None`` when nothing follows: what it names is unreadable,
-    or another one answered."""
+    rate_limit: float | None
+    """Requests per second that the upstream accepts from all fronts together;
+    ``UNLIMITED`` if it states none. ``None`` leaves the known limit unchanged: the
+    value is invalid, or the response came from another upstream."""
 
     backoff: float | None = None
-    """Seconds for which the upstream wants nothing from this front, if it named any."""
+    """Seconds for which the upstream asks this front to send nothing."""
 
     has_unreadable_backoff: bool = False
-    """Whether it named a time that is no number of seconds."""
+    """Whether it stated a backoff that is not a number of seconds."""
 
     is_draining: bool = False
-    """Whether the upstream leaves: it wants no new requests, from nobody."""
+    """Whether the upstream is draining and takes no new requests from any front."""
 
-    unknown_words: tuple[str, ...] = ()
-    """Names of headers by which it says of itself what nothing here reads."""
+    unknown_headers: tuple[str, ...] = ()
+    """Names of headers about the upstream itself that the gateway does not know."""
 
 
 class Outcome(Enum):
@@ -94,25 +94,25 @@
 
     ANSWERED = "answered"
     NOT_SENT = "not sent"
-    LEFT = "left"
-    """Nothing was sent, since the upstream began to leave before its turn."""
+    WITHDRAWN = "left"
+    """Not sent: the upstream, or the request, became ineligible before the send."""
 
     REJECTED = "rejected"
     """The upstream declared that it did not run the request."""
 
     FAILED = "failed"
-    """The upstream ran the request and answered with a failure of its own."""
+    """The upstream ran the request and responded with an error of its own."""
 
-    BROKEN = "broken"
-    """No whole answer came: it may have run."""
+    INTERRUPTED = "broken"
+    """The response is missing or incomplete; the request may have run."""
 
     TIMED_OUT = "timed out"
-    SILENT = "silent"
-    """Nothing came for longer than a sound upstream takes."""
+    UNRESPONSIVE = "silent"
+    """No bytes arrived within the timeout for a healthy upstream."""
 
 
 class UpstreamTarget(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream that was chosen for one attempt."""
+    """The upstream chosen for one attempt."""
 
     upstream: UpstreamId
     address: str
--- a/src/scalebend/models/configuration.py
+++ b/src/scalebend/models/configuration.py
@@ -1,4 +1,4 @@
-"""The shared configuration: one JSON document, accepted and applied whole."""
+"""The fleet's configuration: one JSON document, accepted and applied as a whole."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Customer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A group that shares the fleet.
+    """A customer of the fleet.
 
-    ``weight`` is its share relative to the others'. ``priority`` orders customers
-    when the fleet sheds work: a higher number is served first. ``key_hashes``
+    ``weight`` is its share relative to that of other customers. ``priority`` orders
+    customers during load shedding: a higher number is served first. ``key_hashes``
     holds hashes made by ``scalebend hash-key``; several may be valid at once.
     """
 
@@ -39,25 +39,25 @@
 
 
 class ServiceCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One call of a plain service: HTTP method and path prefix."""
+    """A call of a plain service: HTTP method and path prefix."""
 
     method: str
     path: str
-    repeatable: bool = True
+    is_idempotent: bool = msgspec.field(name="repeatable", default=True)
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A plain service; calls that are not listed are repeatable for GET and HEAD."""
+    """A plain service; of the calls not listed, GET and HEAD are idempotent."""
 
     service: ServiceName
     calls: list[ServiceCall] = msgspec.field(default_factory=list)
 
 
 class Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A model with the adapters and versions that must be served.
+    """A model to be served, with its version and adapters.
 
-    ``replicas`` is how many engines must have it loaded. ``kv_bytes_per_token`` is
-    the engine memory that one token of context holds.
+    ``replicas`` is how many engines must have it loaded. ``longest_prompt`` is in
+    tokens; ``bytes_per_token`` converts the size of a prompt to tokens.
     """
 
     model: ModelName
@@ -69,7 +69,7 @@
 
 
 class UpstreamKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of engine; ``checks_fencing``: it refuses an order with an old number."""
+    """A kind of engine; ``checks_fencing``: it rejects stale fencing numbers."""
 
     kind: str
     checks_fencing: bool = False
@@ -86,7 +86,7 @@
 
 
 class ConfigurationChange(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An operator's request to replace the configuration at ``base`` as a whole."""
+    """An operator's request to replace the whole configuration of version ``base``."""
 
     base: ConfigurationVersion
     change: ChangeId
--- a/src/scalebend/models/crashes.py
+++ b/src/scalebend/models/crashes.py
@@ -1,4 +1,4 @@
-"""What processes tell each other of requests under which upstreams ended."""
+"""Records of requests during which upstreams crashed, exchanged by processes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One request and the upstreams that ended, or cut it off, while they ran it.
+    """One request and the upstreams that crashed, or cut it off, while they ran it.
 
-    All that are known, not only new ones: records can be merged in any order and as
-    often as they come.
+    Lists all known upstreams, not only new ones, so that merging records is commutative
+    and idempotent.
     """
 
     fingerprint: Fingerprint
-    ended: tuple[UpstreamId, ...]
+    upstreams: tuple[UpstreamId, ...] = msgspec.field(name="ended")
--- a/src/scalebend/models/endpoints.py
+++ b/src/scalebend/models/endpoints.py
@@ -1,9 +1,9 @@
 """Upstreams as the gateway knows them from their registrations.
 
-An upstream may start again under the name that it had, and then it holds and knows
-nothing of before. So everything the gateway knows of one (its address and state, open
-jobs, suspicion, failures, pace, reserved memory) is kept under an :data:`UpstreamId`
-that names one incarnation: what was learnt of one cannot be taken for the next.
+An upstream may restart under its old name with none of its earlier state. The gateway
+therefore keeps all it knows of an upstream (address, open jobs, health, reserved
+memory) under an :data:`UpstreamId`, which names one incarnation, so that facts about
+one incarnation are never applied to the next.
 """
 
 from __future__ import annotations
@@ -19,42 +19,42 @@
     UpstreamName,
 )
 
-LONGEST_NAME = 200
-"""Characters of a name, which is kept in tables and log lines: ten times the usual."""
+MAX_NAME_CHARS = 200
+"""Bounds what one name takes in tables and log lines."""
 
-MOST_SLOTS = 10_000
-"""Requests that one upstream can claim to run at once, hundreds of times the usual: a
-wrong number would draw all requests of its service."""
+MAX_SLOTS = 10_000
+"""Slots that one upstream may claim: a wrong number would attract all requests of its
+service."""
 
-LARGEST_COUNT = 2**53
-"""What any reader of JSON holds exactly."""
+MAX_COUNT = 2**53
+"""Up to here, every JSON parser represents integers exactly."""
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_NAME)]
-Slots = Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_COUNT)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
+Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
 _SEPARATOR = "~"
-"""Between name and start time; no name may contain it."""
+"""Separates name and start time in an id; names may not contain it."""
 
 
 def build_upstream_id(name: UpstreamName, born: int | None) -> UpstreamId:
-    """Name one incarnation; ``born`` is the Unix millisecond of its start, if told."""
+    """Build the id of an incarnation; ``born`` is its start in Unix milliseconds."""
     return UpstreamId(name if born is None else f"{name}{_SEPARATOR}{born:x}")
 
 
 def get_upstream_name(upstream: UpstreamId) -> UpstreamName:
-    """The name that all incarnations of an upstream share."""
+    """Return the name that all incarnations of the upstream share."""
     return UpstreamName(upstream.partition(_SEPARATOR)[0])
 
 
 def get_upstream_born(upstream: UpstreamId) -> int | None:
-    """Unix millisecond of this incarnation's start; ``None`` if it told none."""
+    """Return the start of this incarnation in Unix milliseconds, if it stated one."""
     born = upstream.partition(_SEPARATOR)[2]
     return int(born, 16) if born else None
 
 
-def may_be_upstream_name(text: str) -> bool:
-    """Whether ``text`` can be told apart from the name of an incarnation."""
+def is_valid_upstream_name(text: str) -> bool:
+    """Whether ``text`` can be a name, so that ids built from it are unambiguous."""
     return bool(text) and text.isprintable() and not set(text) & {_SEPARATOR, "/", " "}
 
 
@@ -68,10 +68,10 @@
     slots: Slots
     is_draining: bool
     sequence: Count
-    """Rises with each registration of an incarnation, so that a late one is seen."""
+    """Rises with each registration of an incarnation; reveals reordered ones."""
 
     born: Count | None = None
-    """Unix millisecond of its start; ``None`` if it tells none."""
+    """Start in Unix milliseconds; ``None`` if it stated none."""
 
     @property
     def name(self) -> UpstreamName:
@@ -81,30 +81,30 @@
     def is_before(self, other: Endpoint) -> bool:
         """Whether this is an earlier incarnation than ``other``, of the same name.
 
-        One that tells no start is earlier than any that does.
+        An incarnation without a start time precedes any that has one.
         """
         if self.upstream == other.upstream or other.born is None:
             return False
         return self.born is None or self.born < other.born
 
 
-class EndpointNews(msgspec.Struct, frozen=True, array_like=True):
-    """What changed about an upstream; ``is_gone`` when it left or fell silent."""
+class EndpointUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """A changed upstream; ``is_gone`` if it was deregistered or expired."""
 
     endpoint: Endpoint
     is_gone: bool
 
 
-class Departure(msgspec.Struct, frozen=True):
-    """An upstream's word that it leaves, for whichever incarnation it names."""
+class Deregistration(msgspec.Struct, frozen=True):
+    """An upstream's request to be removed."""
 
     name: UpstreamName
     born: int | None
-    """``None`` if it names none: then it speaks of the newest."""
+    """Start of the incarnation in Unix milliseconds; ``None`` means the latest one."""
 
 
 class UpstreamOutcomes(msgspec.Struct, frozen=True, array_like=True):
-    """How many attempts at an upstream ended with an answer and with its failure."""
+    """How many attempts at an upstream succeeded, and how many failed."""
 
     upstream: UpstreamId
     answered: int
--- a/src/scalebend/models/gateway_settings.py
+++ b/src/scalebend/models/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one gateway process: a front, or a control instance.
+"""Settings of one gateway process: a front, a control instance or a relay.
 
 Times are in seconds, sizes in bytes unless a name says otherwise.
 """
@@ -18,20 +18,20 @@
     FRONT = "front"
     CONTROL = "control"
     RELAY = "relay"
-    """Takes control calls without a disk, so it has no vote: it sends them on."""
+    """Forwards control calls; without a disk, it has no vote."""
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Times and ratios that the deployment promises its users."""
+    """Times and ratios that the deployment guarantees to its users."""
 
     key_revocation: float = 5.0
-    """Seconds after which a revoked key must not be admitted."""
+    """Seconds after which a revoked key must be rejected."""
 
     is_revocation_strict: bool = True
-    """Whether that holds also for a front that is cut off from control."""
+    """Whether that also holds for a front disconnected from all control instances."""
 
     drain_grace: float = 8.0
-    """Seconds between the stop signal and the kill."""
+    """Seconds between the stop signal and SIGKILL."""
 
     retry_ratio: float = 0.2
     """Retries allowed for each first attempt at a service."""
@@ -40,10 +40,10 @@
     """Seconds over which retries are counted."""
 
     retry_slack: float = 50.0
-    """Retries of a window that are allowed beside the ratio, over all fronts."""
+    """Retries of a window that are allowed in addition, over all fronts."""
 
-    hold_most: float = 20.0
-    """Longest time for which a replica sets memory aside."""
+    max_reservation_s: float = 20.0
+    """Longest time for which a replica reserves memory, in seconds."""
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
@@ -53,39 +53,39 @@
     role: GatewayRole
     availability_zone: AvailabilityZone
     link_address: str
-    """Where control processes of this machine take messages of the others."""
+    """Address at which other control processes reach the one on this host."""
 
     seeds: list[str]
-    """Link addresses of some control instances, perhaps outdated."""
+    """Link addresses of some control instances, possibly stale."""
 
     is_first_start: bool
-    """Whether the deployment never ran before, so that a group may be founded."""
+    """Whether the deployment never ran before, so that a group may be formed."""
 
     tolerated_losses: int
-    """Control instances that may be lost at once: twice as many, and one, vote."""
+    """Control instances that may fail at once; twice as many and one more vote."""
 
     heartbeat_interval: float
     """Seconds between two registrations of an upstream."""
 
     bounds: Bounds
     link_listen: str | None = None
-    """Where links are accepted, if that is not the address that others dial."""
+    """Address to accept links on, if different from the one that others dial."""
 
     callers_address: str | None = None
     readiness_address: str | None = None
     control_address: str | None = None
     metrics_port: int | None = None
     data_folder: str | None = None
-    open_files_most: int = 1024
+    max_open_files: int = 1024
     memory_mib: int = 256
 
     @property
     def instance(self) -> InstanceId:
-        """This process among all others of the system.
+        """Name of this process, unique in the system.
 
-        A control process goes by the address at which others dial it. Nobody dials a
-        front, and a control process may share its machine, so it has a name of its own:
-        with one name for both, each new link of one would end the other's.
+        A control process is named by its link address. A front may share its host with
+        a control process, so it has another name: with the same one, each new link of
+        either would replace the other's.
         """
         if self.role is GatewayRole.FRONT:
             return InstanceId(f"front-{self.link_address}")
--- a/src/scalebend/models/ids.py
+++ b/src/scalebend/models/ids.py
@@ -1,4 +1,4 @@
-"""Identifier types. Each is a plain value at run time and distinct to the checker."""
+"""Identifier types, distinct to the type checker and plain values at run time."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 """Name of a customer in the configuration."""
 
 UpstreamId = NewType("UpstreamId", str)
-"""What an upstream is known by inside the system. In the gateway it names one
-incarnation, see :func:`scalebend.models.endpoints.build_upstream_id`; elsewhere it is
-the upstream's own name, beside an :data:`Incarnation`."""
+"""Id of an upstream. In the gateway it names one incarnation, see
+:func:`scalebend.models.endpoints.build_upstream_id`; elsewhere it is the upstream's
+name, and the :data:`Incarnation` is separate."""
 
 UpstreamName = NewType("UpstreamName", str)
-"""Name an upstream of the gateway gives itself; it may keep it over a restart."""
+"""Name that an upstream of the gateway registers; may persist over restarts."""
 
 Incarnation = NewType("Incarnation", int)
-"""Number that an upstream or instance raises at each start."""
+"""Number of a run of an upstream or instance; rises with each start."""
 
 ModelName = NewType("ModelName", str)
-"""Name of a model, as callers write it."""
+"""Name of a model, as callers use it."""
 
 ServiceName = NewType("ServiceName", str)
 """Name of a plain service."""
 
 RequestId = NewType("RequestId", str)
-"""One request of a caller."""
+"""Id of a caller's request."""
 
 Fingerprint = NewType("Fingerprint", str)
-"""What arrivals of the same request have in common, in hexadecimal; see
+"""Hash that all arrivals of the same request share, in hexadecimal; see
 :func:`scalebend.core.fingerprints.compute_fingerprint`."""
 
 AttemptId = NewType("AttemptId", str)
-"""One attempt to run a request on one upstream, unique in the system."""
+"""Id of one attempt to run a request on one upstream, unique in the system."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""Caller's key for a request that is not to be repeated; scoped by customer."""
+"""Caller's key for a non-idempotent request; scoped by customer."""
 
 ChangeId = NewType("ChangeId", str)
 """Operator's key for one configuration change; a resend carries the same."""
@@ -62,7 +62,7 @@
 """Position in the control group's log; the first entry has index 1."""
 
 RoutingVersion = NewType("RoutingVersion", int)
-"""Number of a routing document; operators raise it in uneven steps."""
+"""Number of a routing document; rises with each change, with gaps."""
 
-SendId = NewType("SendId", int)
-"""One question of a front whether it may send a request, among all of its own."""
+SendPermitId = NewType("SendPermitId", int)
+"""Number of a front's request for a send permit, unique within the front."""
--- a/src/scalebend/models/orders.py
+++ b/src/scalebend/models/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, as they travel: ``POST /v1/orders``."""
+"""Orders to engines, the body of ``POST /v1/orders``."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class Order(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Load and unload models; an engine that checks refuses an old number.
+    """Load and unload models.
 
-    The same ``order`` sent again asks for nothing new.
+    An engine that checks ``fencing_number`` rejects a stale one. Resending the same
+    ``order`` has no further effect.
     """
 
     order: str
--- a/src/scalebend/models/placement.py
+++ b/src/scalebend/models/placement.py
@@ -1,4 +1,4 @@
-"""Work for engines, and where it was placed. Times in seconds, sizes in tokens."""
+"""Work for engines and its placement. Times in seconds, sizes in tokens."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from scalebend.models.ids import InstanceId, ServiceName, UpstreamId
 
 JobId = NewType("JobId", str)
-"""One attempt of one request at the engines, unique over all fronts."""
+"""Id of one attempt of a request at the engines, unique over all fronts."""
 
 
 def build_job_id(front: InstanceId, incarnation: int, number: int) -> JobId:
-    """Return a name that no other attempt of any front has."""
-    # Also names reserved memory, where a colon or slash would be a separator.
+    """Build the id of an attempt, unique over all fronts."""
+    # The id also names reservations, where a colon or slash would be a separator.
     return JobId(f"{front.replace(':', '-')}-{incarnation:x}-{number}")
 
 
@@ -30,29 +30,29 @@
     service: ServiceName
     prompt_tokens: int
     output_tokens: int
-    """Most tokens that may come out."""
+    """Maximum number of output tokens."""
 
     expected_tokens: int
-    """Tokens that the caller estimates will come out."""
+    """Output tokens that the caller expects."""
 
     target: float
-    """Time to the first token within which the answer counts as in time."""
+    """Time to the first token within which the response is on time."""
 
     event_gap: float
-    """Longest pause between events that counts as in time."""
+    """Longest gap between events that is still on time."""
 
     remaining: float
-    """Time until the request ends whatever happens."""
+    """Time until the request's deadline."""
 
     excluded: tuple[UpstreamId, ...] = ()
-    """Replicas that this request must not be sent to again."""
+    """Replicas that must not receive this request again."""
 
     is_suspect: bool = False
-    """Whether a replica ended under this request, and none has answered it since."""
+    """Whether a replica crashed during this request and none has completed it since."""
 
 
 class Helper(msgspec.Struct, frozen=True, array_like=True):
-    """A replica that reads a part; it holds ``tokens`` of memory if above 0."""
+    """A prefill helper: computes a part, and reserves ``tokens`` of memory if not 0."""
 
     upstream: UpstreamId
     address: str
@@ -60,66 +60,66 @@
 
 
 class Placement(msgspec.Struct, frozen=True, array_like=True):
-    """Replicas for one job; the first one writes the answer."""
+    """Replicas for one job; the lead replica, ``upstream``, decodes the response."""
 
     upstream: UpstreamId
     address: str
     helpers: tuple[Helper, ...]
     first_token_in: float
-    """Predicted time to the first token, the pause before sending included."""
+    """Predicted time to the first token, ``start_in`` included."""
 
     start_in: float = 0.0
-    """Pause before sending, until earlier reading on these replicas is done."""
+    """Delay before sending, until earlier prefill on these replicas is done."""
 
     @property
     def upstreams(self) -> list[UpstreamId]:
-        """All replicas that take part, the one that writes first."""
+        """All replicas that take part, the lead replica first."""
         return [self.upstream, *(helper.upstream for helper in self.helpers)]
 
 
 class Declined(msgspec.Struct, frozen=True, array_like=True):
-    """Nothing may take the work now; it may come back after ``retry_after``."""
+    """No replica may take the work now; retry after ``retry_after`` seconds."""
 
     retry_after: float
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What a front is to do with a piece of work, and who decided."""
+    """Outcome of placing a piece of work, and who decided it."""
 
     placed: Placement | Declined
     leader: InstanceId | None
-    """The leader that placed it; ``None`` when the front decided alone."""
+    """The leader that placed it; ``None`` for an uncoordinated placement."""
 
 
 class JobStage(msgspec.Struct, frozen=True, array_like=True):
-    """How far a job came: its first token was seen, or it ended."""
+    """Progress of a job: its first token was seen, or it ended."""
 
     job: JobId
     is_ended: bool
     load: int | None = None
-    """Requests that ran and waited at the first replica, by its own count."""
+    """Requests running and waiting at the lead replica, as it reports them."""
 
 
 class OpenJob(msgspec.Struct, frozen=True, array_like=True):
-    """A job that a front has open, for a scheduler that must learn of it."""
+    """An open job of a front, for a scheduler that does not know it yet."""
 
     work: EngineWork
     placement: Placement
-    is_writing: bool
+    is_decoding: bool = msgspec.field(name="is_writing")
     age: float = 0.0
     """Seconds since it was placed."""
 
 
 class ReplicaReport(msgspec.Struct, frozen=True):
-    """What a replica tells of itself, some hundred milliseconds old."""
+    """Status that a replica reports; some hundred milliseconds old."""
 
     pace: float
-    """How many times slower than usual it works; 1 for a sound one."""
+    """How many times slower than usual it works; 1 for a healthy one."""
 
     waiting: int
     running: int
     born: int | None = None
-    """Unix millisecond of its start; ``None`` if it tells none."""
+    """Start in Unix milliseconds; ``None`` if it stated none."""
 
 
 class ReplicaPace(msgspec.Struct, frozen=True, array_like=True):
@@ -130,17 +130,17 @@
 
 
 class BusyReplica(msgspec.Struct, frozen=True, array_like=True):
-    """Load of a replica, as its scheduler believes."""
+    """Load of a replica, as its scheduler estimates it."""
 
     upstream: UpstreamId
-    reading: float
-    """Seconds of reading that wait there."""
+    prefill_s: float = msgspec.field(name="reading")
+    """Seconds of pending prefill."""
 
-    writing: int
-    """Requests that write there or are about to."""
+    decoding: int = msgspec.field(name="writing")
+    """Requests that decode there or are about to."""
 
     event_gap: float
-    """Shortest event gap promised to one of them; 0 when there is none."""
+    """Shortest event gap promised to one of them; 0 if there is none."""
 
     pace: float = 1.0
     """How many times slower than usual it works."""
--- a/src/scalebend/models/routing.py
+++ b/src/scalebend/models/routing.py
@@ -1,4 +1,4 @@
-"""Routes, services and keys that operators declare for the gateway, as one document."""
+"""The routing document: routes, services and keys that operators declare."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteKind(Enum):
-    """What may be done with a request of a route."""
+    """How requests of a route may be retried and forwarded."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -18,67 +18,68 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True, array_like=True):
-    """A service of a route and its part of the route's requests."""
+    """A service of a route and its weight among the route's services."""
 
     service: ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, array_like=True):
-    """Where requests of a host and path prefix go, and what is promised for them."""
+    """Services and guarantees for requests to a host and path prefix."""
 
     name: str
     host: str
     path_prefix: str
     kind: RouteKind
     timeout: float
-    """Seconds after which a request is ended whatever its caller allows."""
+    """Seconds after which a request ends even if its caller would wait longer."""
 
     target_latency: float
-    """Seconds within which the answer, or a stream's first event, is wanted."""
+    """Target in seconds for the response, or for the first event of a stream."""
 
     priority: int
     """Rank; 0 is the most urgent."""
 
     services: tuple[WeightedService, ...]
-    attempts_most: int
+    max_attempts: int = msgspec.field(name="attempts_most")
     is_public: bool
     is_resumable: bool
     event_gap: float | None
-    """Longest pause between two events of a stream that still counts as in time."""
+    """Longest gap in seconds between events of a stream that is still on time."""
 
     @property
-    def may_repeat(self) -> bool:
-        """Whether a second run does no harm."""
+    def is_idempotent(self) -> bool:
+        """Whether a request may safely run twice."""
         if self.kind is RouteKind.STREAMING:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
 
 
 class EngineProfile(msgspec.Struct, frozen=True, array_like=True):
-    """How fast the engines of a service read and write; times in milliseconds."""
+    """Capacity and speed of the engines of a service."""
 
     slots: int
     memory_tokens: int
-    steps_per_pass: int
+    decode_steps_per_batch_step: int = msgspec.field(name="steps_per_pass")
     step_ms: float
     per_sequence_ms: float
     context_ms_per_thousand: float
-    read_tokens_per_second: float
-    pairs_ms_per_million: float
+    prefill_tokens_per_second: float = msgspec.field(name="read_tokens_per_second")
+    attention_ms_per_million_pairs: float = msgspec.field(name="pairs_ms_per_million")
+    """Attention cost of a prefill per million pairs of tokens."""
 
 
 class RoutedService(msgspec.Struct, frozen=True, array_like=True):
-    """A service that routes name; ``engine`` is set where language models run."""
+    """A service that routes refer to; ``engine`` is set if it runs language models."""
 
     name: ServiceName
-    connections_most: int
+    max_connections: int = msgspec.field(name="connections_most")
     health_path: str
     engine: EngineProfile | None
 
 
 class ListenerLimits(msgspec.Struct, frozen=True, array_like=True):
-    """Bounds for what callers send; sizes in bytes, times in seconds."""
+    """Limits for requests of callers; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -87,7 +88,7 @@
 
 
 class RoutedCustomer(msgspec.Struct, frozen=True, array_like=True):
-    """A customer and the keys that its callers may show."""
+    """A customer and the keys that its callers may use."""
 
     name: CustomerId
     keys: tuple[str, ...]
@@ -95,7 +96,7 @@
 
 
 class Routing(msgspec.Struct, frozen=True, array_like=True):
-    """One routing document: the highest version is the one in force."""
+    """One routing document; the highest version is in force."""
 
     version: RoutingVersion
     routes: tuple[Route, ...] = ()
@@ -103,18 +104,18 @@
     limits: ListenerLimits = ListenerLimits()
     customers: tuple[RoutedCustomer, ...] = ()
     needs_key: bool = False
-    """Whether requests to routes that are not public must show a key."""
+    """Whether requests to routes that are not public need a key."""
 
 
 class StoredRouting(msgspec.Struct, frozen=True):
-    """A routing document as the replicated log holds it; both parts by zlib."""
+    """A routing document in the replicated log; both parts are compressed by zlib."""
 
     version: RoutingVersion
     routing: bytes
     """The :class:`Routing`, as MessagePack."""
 
     document: bytes
-    """The bytes that the operator sent, to be handed back unchanged."""
+    """The operator's document, kept to be returned unchanged."""
 
 
 EMPTY_ROUTING = Routing(RoutingVersion(0))
--- a/src/scalebend/models/settings.py
+++ b/src/scalebend/models/settings.py
@@ -1,4 +1,4 @@
-"""An instance's own settings: one JSON document, read once at start."""
+"""Settings of one instance: a JSON document, read once at start."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from scalebend.models.ids import AvailabilityZone, InstanceId, Region
 
 MIB = 1024 * 1024
-DEFAULT_BODY_LIMIT = 8 * MIB
-DEFAULT_BODY_SUM = 256 * MIB
+DEFAULT_BODY_BYTES = 8 * MIB
+DEFAULT_BODY_BYTES_SUM = 256 * MIB
 
 
 class Role(Enum):
-    """What an instance does."""
+    """Role of an instance."""
 
     ENTRY = "entry"
     CONTROL = "control"
@@ -29,7 +29,7 @@
 
 
 class Peer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Another instance that this one may contact first."""
+    """Another instance, for first contact with the fleet."""
 
     instance: InstanceId
     peers: str
@@ -40,7 +40,7 @@
 
 
 class Tls(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Files of a certificate; with ``authority`` the other side needs one too."""
+    """Certificate files; with ``authority`` the peer needs a certificate, too."""
 
     certificate: str
     key: str
@@ -48,10 +48,10 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of one instance; sizes in bytes, times in seconds."""
+    """Limits of one instance; sizes in bytes, times in seconds."""
 
-    body_bytes: int = DEFAULT_BODY_LIMIT
-    body_bytes_sum: int = DEFAULT_BODY_SUM
+    body_bytes: int = DEFAULT_BODY_BYTES
+    body_bytes_sum: int = DEFAULT_BODY_BYTES_SUM
     default_time_limit: float = 120.0
     longest_time_limit: float = 3600.0
     drain_time: float = 120.0
@@ -59,21 +59,21 @@
 
 
 class LogFormat(Enum):
-    """How log lines are written."""
+    """Format of log lines."""
 
     JSON = "json"
     CONSOLE = "console"
 
 
 class Logging(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Log output; ``level`` is a name such as ``info``."""
+    """Log output; ``level`` is a level's name, such as ``info``."""
 
     format: LogFormat = LogFormat.JSON
     level: str = "info"
 
 
 class Statsd(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where metrics go, over UDP."""
+    """Destination of metrics, over UDP."""
 
     host: str = "127.0.0.1"
     port: int = 8125
--- a/src/scalebend/models/upstream.py
+++ b/src/scalebend/models/upstream.py
@@ -1,4 +1,4 @@
-"""What upstreams announce about themselves."""
+"""Announcements of upstreams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-class UpstreamKindName(Enum):
+class UpstreamFamily(Enum):
     """The two families of upstream."""
 
     ENGINE = "engine"
@@ -23,14 +23,14 @@
 
 
 class UpstreamState(Enum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new work."""
 
     SERVING = "serving"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 class EngineRole(Enum):
-    """What part of a request an engine runs."""
+    """Phases of a request that an engine runs."""
 
     BOTH = "both"
     PREFILL = "prefill"
@@ -38,7 +38,7 @@
 
 
 class LoadedModel(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A model that an engine has in memory."""
+    """A model that an engine has loaded."""
 
     model: ModelName
     version: str = "1"
@@ -46,7 +46,7 @@
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Load as the upstream sees it; ``memory_used`` in tokens of KV cache."""
+    """Load as the upstream reports it; ``memory_used`` in tokens of KV cache."""
 
     running: int = 0
     waiting: int = 0
@@ -54,7 +54,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Prefix blocks (64-bit hashes) that entered or left an engine's cache.
+    """Blocks (64-bit hashes) added to or evicted from an engine's prefix cache.
 
     ``sequence`` rises by one with each event; a gap means that events were lost.
     """
@@ -67,14 +67,14 @@
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """An upstream's heartbeat: ``POST /upstreams/announce``.
 
-    ``memory_tokens`` is the KV memory in tokens; ``prefill_rate`` in tokens a
-    second; ``step_time`` in seconds per generated token. ``running`` lists the
-    attempts it holds memory for. ``sequence`` rises with each announcement of one
+    ``memory_tokens`` is the KV cache memory in tokens; ``prefill_rate`` is in tokens
+    per second, ``step_time`` in seconds per generated token. ``running`` lists the
+    attempts that hold memory. ``sequence`` rises with each announcement of one
     incarnation.
     """
 
     upstream: UpstreamId
-    family: UpstreamKindName
+    family: UpstreamFamily
     address: str
     incarnation: Incarnation
     availability_zone: AvailabilityZone
--- a/src/scalebend/models/work.py
+++ b/src/scalebend/models/work.py
@@ -1,4 +1,4 @@
-"""Requests and attempts, as the core sees them. Sizes in tokens, times in seconds."""
+"""Requests and attempts in the core. Sizes in tokens, times in seconds."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AttemptState(Enum):
-    """Life of one attempt; see docs/design/attempts.md."""
+    """State of one attempt; see docs/design/attempts.md."""
 
     QUEUED = "queued"
     GRANTED = "granted"
@@ -37,10 +37,11 @@
 class Request(msgspec.Struct, frozen=True, kw_only=True):
     """An admitted request of a caller.
 
-    ``deadline`` is in the clock of the instance that admitted it.
+    ``deadline`` is on the clock of the instance that admitted it.
     ``prefixes`` are the block hashes of the prompt, longest prefix last;
-    ``fingerprint`` is a hash of the whole content, kept with claimed keys; ``content``
-    names the request at all instances, see :mod:`scalebend.core.fingerprints`.
+    ``fingerprint`` is a hash of the whole content, kept with claimed idempotency keys;
+    ``content`` identifies the request at all instances, see
+    :mod:`scalebend.core.fingerprints`.
     """
 
     request: RequestId
@@ -54,7 +55,7 @@
     prompt_tokens: int = 0
     output_tokens: int = 0
     priority: int = 0
-    repeatable: bool = True
+    is_idempotent: bool = True
     is_streamed: bool = True
     idempotency_key: IdempotencyKey | None = None
     fingerprint: str = ""
@@ -63,15 +64,16 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Engine memory that the request may grow to."""
+        """Most KV cache memory that the request may need."""
         return self.prompt_tokens + self.output_tokens
 
 
 class Work(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt as its replica's owner sees it.
+    """One attempt, as sent to the owner of its replica.
 
-    ``patience`` is how long the attempt may wait from its arrival at the owner;
-    durations cross instances, clock readings never do.
+    ``timeout_s`` is how long the attempt may wait from its arrival at the owner: a
+    duration, since the clocks of instances differ. ``is_reserved_elsewhere``: the
+    request also reserves memory at another replica.
     """
 
     attempt: AttemptId
@@ -82,22 +84,22 @@
     memory_tokens: int
     prefill_tokens: int
     output_tokens: int
-    patience: float
+    timeout_s: float = msgspec.field(name="patience")
     priority: int = 0
-    held_elsewhere: bool = False
+    is_reserved_elsewhere: bool = msgspec.field(name="held_elsewhere", default=False)
 
 
 class RefusalReason(Enum):
-    """Why an owner refused an attempt."""
+    """Why an owner rejected an attempt."""
 
     TOO_LARGE = "too-large"
     TOO_LATE = "too-late"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     NOT_OWNER = "not-owner"
 
 
 class Grant(msgspec.Struct, frozen=True, tag=True):
-    """The owner lets an attempt start; unused, it expires after ``valid`` seconds."""
+    """Permission to start an attempt; expires after ``valid`` seconds if unused."""
 
     attempt: AttemptId
     upstream: UpstreamId
@@ -105,7 +107,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag=True):
-    """The owner will not start an attempt; it ran nowhere."""
+    """The owner rejected an attempt, which has not run."""
 
     attempt: AttemptId
     upstream: UpstreamId
@@ -114,7 +116,7 @@
 
 
 class Outcome(Enum):
-    """How the entry saw an attempt end, as told to the owner."""
+    """How an attempt ended, as the entry reports it to the owner."""
 
     UNUSED = "unused"
     FINISHED = "finished"
@@ -144,7 +146,7 @@
 
 
 class Renew(msgspec.Struct, frozen=True, tag=True):
-    """Entry to owner: these attempts are still open (lease renewal and rebuild)."""
+    """Entry to owner: these attempts are open; renews leases and rebuilds state."""
 
     upstream: UpstreamId
     work: list[Work]
@@ -153,9 +155,9 @@
 class LoadDigest(msgspec.Struct, frozen=True, array_like=True):
     """Load of one replica as its owner knows it.
 
-    ``prefill_tokens``, by size class, are granted but not yet answered with a first
-    token, and ``queued_tokens`` wait at the owner; ``decoding`` counts attempts past
-    their first token; ``free_tokens`` is unreserved memory.
+    ``prefill_tokens``, by size class, are of granted attempts without a first token;
+    ``queued_tokens``, by size class, are queued at the owner. ``decoding`` counts
+    attempts past their first token; ``free_tokens`` is unreserved memory.
     """
 
     upstream: UpstreamId
@@ -166,17 +168,17 @@
     queued_tokens: tuple[int, ...]
 
     def count_ahead(self, size_class: int) -> int:
-        """Prefill tokens that run before a new prompt of the class."""
+        """Count prefill tokens that run before a new prompt of the class."""
         granted = sum(self.prefill_tokens[: size_class + 1])
         return granted + sum(self.queued_tokens[: size_class + 1])
 
     def count_all(self) -> int:
-        """Prefill tokens granted and not yet answered, or waiting."""
+        """Count all prefill tokens, granted or queued."""
         return sum(self.prefill_tokens) + sum(self.queued_tokens)
 
 
 class ReplicaView(msgspec.Struct, frozen=True, kw_only=True):
-    """Static facts of a replica that routing needs."""
+    """Static properties of a replica that routing needs."""
 
     upstream: UpstreamId
     availability_zone: AvailabilityZone
--- a/src/scalebend/platform/headers.py
+++ b/src/scalebend/platform/headers.py
@@ -7,16 +7,16 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from scalebend.models.calls import (
-    AnswerHeaders,
     Call,
     CallerHeaders,
-    LoadReading,
     PromptSize,
+    ReportedLoad,
+    ResponseHeaders,
 )
 from scalebend.models.endpoints import get_upstream_name
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED
-from scalebend.utils.decimals import read_decimal
+from scalebend.models.rate_limits import UNLIMITED
+from scalebend.utils.decimals import parse_decimal
 
 REQUEST_ID = "X-Request-Id"
 DEADLINE = "X-Deadline-Ms"
@@ -104,12 +104,12 @@
 def _read_prompt(headers: Mapping[str, str]) -> PromptSize | None:
     prompt, _, most = headers.get(_TOKENS, "").partition(",")
     prompt_tokens = _read_integer(prompt)
-    output_most = _read_integer(most)
-    if prompt_tokens is None or output_most is None:
+    max_output_tokens = _read_integer(most)
+    if prompt_tokens is None or max_output_tokens is None:
         return None
     hint = _read_integer(headers.get(_LENGTH_HINT))
-    expected = output_most if hint is None else min(hint, output_most)
-    return PromptSize(prompt_tokens, output_most, expected)
+    expected = max_output_tokens if hint is None else min(hint, max_output_tokens)
+    return PromptSize(prompt_tokens, max_output_tokens, expected)
 
 
 def build_upstream_headers(
@@ -158,7 +158,7 @@
     if call.key is not None:
         headers["Authorization"] = f"Bearer {call.key}"
     if call.prompt is not None:
-        headers[_TOKENS] = f"{call.prompt.prompt},{call.prompt.output_most}"
+        headers[_TOKENS] = f"{call.prompt.prompt},{call.prompt.max_output_tokens}"
     if resume_after is not None:
         headers[LAST_EVENT] = str(resume_after)
     return headers
@@ -169,7 +169,7 @@
     seal: str | None,
     *,
     has_not_run: bool = False,
-    request_limit: float | None = None,
+    rate_limit: float | None = None,
     backoff: float | None = None,
     is_draining: bool = False,
 ) -> CIMultiDict[str]:
@@ -179,8 +179,8 @@
         headers[SEAL] = seal
     if has_not_run:
         headers[_NOT_RUN] = "true"
-    if request_limit is not None:
-        headers[_REQUEST_LIMIT] = f"{request_limit:g}"
+    if rate_limit is not None:
+        headers[_REQUEST_LIMIT] = f"{rate_limit:g}"
     if backoff is not None:
         headers[_RETRY_AFTER] = f"{backoff:g}"
     if is_draining:
@@ -188,22 +188,22 @@
     return headers
 
 
-def read_answer_headers(status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+def read_answer_headers(status: int, headers: Mapping[str, str]) -> ResponseHeaders:
     """Decode the headers of an upstream's answer."""
     # 421 says that another upstream was meant: this one did not run the request.
     is_other = status == 421
     backoff = headers.get(_RETRY_AFTER) if status == 503 else None
-    seconds = read_decimal(backoff)
-    return AnswerHeaders(
+    seconds = parse_decimal(backoff)
+    return ResponseHeaders(
         request=headers.get(REQUEST_ID),
         has_not_run=is_other or _NOT_RUN in headers,
         load=_read_load(headers.get(_LOAD)),
         faulty_address=headers.get(_FAULTY),
-        request_limit=None if is_other else _read_limit(headers),
+        rate_limit=None if is_other else _read_limit(headers),
         backoff=seconds,
         has_unreadable_backoff=backoff is not None and seconds is None,
         is_draining=not is_other and headers.get(_DRAINING) == "1",
-        unknown_words=tuple(filter(_is_unknown_word, headers)),
+        unknown_headers=tuple(filter(_is_unknown_word, headers)),
     )
 
 
@@ -221,19 +221,19 @@
     return f"{seconds:.3f}"
 
 
-def _read_load(text: str | None) -> LoadReading | None:
+def _read_load(text: str | None) -> ReportedLoad | None:
     if text is None:
         return None
     parts = text.split(",")
     if len(parts) != 3 or not all(_is_count(part) for part in parts):
         return None
     running, waiting, slots = (int(part) for part in parts)
-    return LoadReading(running, waiting, slots) if slots else None
+    return ReportedLoad(running, waiting, slots) if slots else None
 
 
 def _read_limit(headers: Mapping[str, str]) -> float | None:
     text = headers.get(_REQUEST_LIMIT)
-    return UNLIMITED if text is None else read_decimal(text)
+    return UNLIMITED if text is None else parse_decimal(text)
 
 
 def _is_unknown_word(name: str) -> bool:
--- a/src/scalebend/platform/registrations.py
+++ b/src/scalebend/platform/registrations.py
@@ -13,14 +13,14 @@
 
 from scalebend.exceptions import DocumentError, ErrorKind, Fault
 from scalebend.models.endpoints import (
-    LONGEST_NAME,
+    MAX_NAME_CHARS,
     Count,
-    Departure,
+    Deregistration,
     Endpoint,
     Name,
     Slots,
     build_upstream_id,
-    may_be_upstream_name,
+    is_valid_upstream_name,
 )
 from scalebend.models.ids import AvailabilityZone, ServiceName, UpstreamName
 from scalebend.utils.addresses import parse_address
@@ -92,23 +92,23 @@
     )
 
 
-def decode_departure(upstream: str, data: bytes) -> Departure:
+def decode_departure(upstream: str, data: bytes) -> Deregistration:
     """Return who says that it leaves; raise when the message is not valid.
 
     The usual message has no body. Then it speaks of the newest incarnation.
     """
     name = _read_name(upstream)
     if not data:
-        return Departure(name, None)
+        return Deregistration(name, None)
     try:
         read = _DEPARTURE_DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise _build_error("$", str(error)) from error
-    return Departure(name, None if read.born is msgspec.UNSET else read.born)
+    return Deregistration(name, None if read.born is msgspec.UNSET else read.born)
 
 
 def _read_name(text: str) -> UpstreamName:
-    if len(text) > LONGEST_NAME or not may_be_upstream_name(text):
+    if len(text) > MAX_NAME_CHARS or not is_valid_upstream_name(text):
         raise _build_error("path", "the name of an upstream")
     return UpstreamName(text)
 
--- a/src/scalebend/platform/routing.py
+++ b/src/scalebend/platform/routing.py
@@ -140,7 +140,7 @@
         target_latency_ms=route.target_latency * 1000.0,
         priority=route.priority,
         traffic_split=[_Split(s.service, s.weight) for s in route.services],
-        max_attempts=route.attempts_most,
+        max_attempts=route.max_attempts,
         public=route.is_public,
         resumable=route.is_resumable,
         gap_aim_ms=gap * 1000.0 if gap is not None else None,
@@ -154,14 +154,14 @@
         engine = _Engine(
             profile.slots,
             profile.memory_tokens,
-            profile.steps_per_pass,
+            profile.decode_steps_per_batch_step,
             profile.step_ms,
             profile.per_sequence_ms,
             profile.context_ms_per_thousand,
-            profile.read_tokens_per_second,
-            profile.pairs_ms_per_million,
+            profile.prefill_tokens_per_second,
+            profile.attention_ms_per_million_pairs,
         )
-    return _Service(service.name, service.health_path, service.connections_most, engine)
+    return _Service(service.name, service.health_path, service.max_connections, engine)
 
 
 def _read_route(route: _Route) -> Route:
@@ -180,7 +180,7 @@
         target_latency=route.target_latency_ms / 1000.0,
         priority=route.priority,
         services=tuple(services),
-        attempts_most=route.max_attempts,
+        max_attempts=route.max_attempts,
         is_public=route.public,
         is_resumable=route.resumable,
         event_gap=gap / 1000.0 if gap is not None else None,
@@ -194,12 +194,12 @@
         profile = EngineProfile(
             slots=engine.slots,
             memory_tokens=engine.kv_capacity,
-            steps_per_pass=engine.stride,
+            decode_steps_per_batch_step=engine.stride,
             step_ms=engine.step_ms,
             per_sequence_ms=engine.per_seq_ms,
             context_ms_per_thousand=engine.context_per_k,
-            read_tokens_per_second=engine.read_per_s,
-            pairs_ms_per_million=engine.pairs_per_m,
+            prefill_tokens_per_second=engine.read_per_s,
+            attention_ms_per_million_pairs=engine.pairs_per_m,
         )
     return RoutedService(
         ServiceName(service.name), service.max_connections, service.health_path, profile
--- a/src/scalebend/soak/documents.py
+++ b/src/scalebend/soak/documents.py
@@ -32,12 +32,12 @@
 ENGINE = EngineProfile(
     slots=8,
     memory_tokens=60_000,
-    steps_per_pass=46,
+    decode_steps_per_batch_step=46,
     step_ms=0.925,
     per_sequence_ms=0.00966,
     context_ms_per_thousand=0.00254,
-    read_tokens_per_second=256_000.0,
-    pairs_ms_per_million=0.0917,
+    prefill_tokens_per_second=256_000.0,
+    attention_ms_per_million_pairs=0.0917,
 )
 """The platform's engine, with little memory so that long prompts need several."""
 
@@ -103,7 +103,7 @@
         target_latency=path.target,
         priority=1,
         services=(WeightedService(path.service, 1.0),),
-        attempts_most=2 if may_repeat else 1,
+        max_attempts=2 if may_repeat else 1,
         is_public=False,
         is_resumable=path.kind is RouteKind.STREAMING,
         event_gap=0.2 if path.kind is RouteKind.STREAMING else None,
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -127,7 +127,7 @@
         self.address = address
         self.proxy: Proxy | None = None
         self.mode = ReplicaMode.SOUND
-        self.request_limit: float | None = None
+        self.rate_limit: float | None = None
         """Requests a second that it names in its answers."""
 
         self.pause: float | None = None
@@ -199,7 +199,7 @@
             name,
             None,
             has_not_run=True,
-            request_limit=self.request_limit,
+            rate_limit=self.rate_limit,
             backoff=pause,
             is_draining=self._says_farewell,
         )
@@ -211,7 +211,7 @@
         headers = build_answer_headers(
             told,
             seal,
-            request_limit=self.request_limit,
+            rate_limit=self.rate_limit,
             is_draining=self._says_farewell,
         )
         if self._says_farewell:
@@ -312,10 +312,10 @@
         now = asyncio.get_running_loop().time
         limited = Limited(self._id, rate, now(), now() + lasts)
         self._fleet.seen.limited.append(limited)
-        self.request_limit = rate
+        self.rate_limit = rate
         await self._live_on(lasts)
         limited.until = now()
-        self.request_limit = None
+        self.rate_limit = None
 
     async def turn_away(self, pause: float, lasts: float) -> None:
         """Turn away what comes for a while, or until this incarnation is over."""
--- a/src/scalebend/standins/engine_server.py
+++ b/src/scalebend/standins/engine_server.py
@@ -29,7 +29,7 @@
     Announcement,
     Load,
     LoadedModel,
-    UpstreamKindName,
+    UpstreamFamily,
     UpstreamState,
 )
 from scalebend.standins.announcer import announce_for_ever
@@ -132,7 +132,7 @@
         scale = self.options.time_scale
         return Announcement(
             upstream=self.options.upstream,
-            family=UpstreamKindName.ENGINE,
+            family=UpstreamFamily.ENGINE,
             address=self.address,
             incarnation=self.incarnation,
             sequence=self._announcements,
--- a/src/scalebend/standins/proxy.py
+++ b/src/scalebend/standins/proxy.py
@@ -35,7 +35,7 @@
 
     BOTH = "both"
     REQUESTS = "requests"
-    ANSWERS = "answers"
+    ERROR_RESPONSES = "answers"
 
 
 class Rule(msgspec.Struct, frozen=True):
@@ -120,7 +120,7 @@
         try:
             await asyncio.gather(
                 self._pump(connection, reader, far_writer, Direction.REQUESTS),
-                self._pump(connection, far_reader, writer, Direction.ANSWERS),
+                self._pump(connection, far_reader, writer, Direction.ERROR_RESPONSES),
             )
         except OSError:
             connection.reset()
--- a/src/scalebend/standins/service_server.py
+++ b/src/scalebend/standins/service_server.py
@@ -15,7 +15,7 @@
     ServiceName,
     UpstreamId,
 )
-from scalebend.models.upstream import Announcement, UpstreamKindName, UpstreamState
+from scalebend.models.upstream import Announcement, UpstreamFamily, UpstreamState
 from scalebend.standins.announcer import announce_for_ever
 
 
@@ -52,7 +52,7 @@
         self._announcements += 1
         return Announcement(
             upstream=self.options.upstream,
-            family=UpstreamKindName.SERVICE,
+            family=UpstreamFamily.SERVICE,
             address=self.address,
             incarnation=self.incarnation,
             sequence=self._announcements,
--- a/src/scalebend/storage/upstream_file.py
+++ b/src/scalebend/storage/upstream_file.py
@@ -1,7 +1,7 @@
-"""The upstreams that a control instance knew, so that it knows them after a restart.
+"""Stores the upstreams that a control instance knows, for its next start.
 
-They register again within two heartbeats. Until then, all callers that waited for the
-restart would meet on the few that were first: with this file all are there at once.
+Upstreams register again within two heartbeats of a restart. Without this file, all
+pending requests would meanwhile go to the few that registered first.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 import msgspec
 
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.storage.hint_file import read_hints, write_hints
 
 _NAME = "upstreams"
-_DECODER = msgspec.msgpack.Decoder(EndpointNews)
+_DECODER = msgspec.msgpack.Decoder(EndpointUpdate)
 
 
-def write_upstreams(folder: Path, news: list[EndpointNews]) -> None:
-    """Store what is known; upstreams register again in any case."""
-    write_hints(folder / _NAME, news)
+def write_upstreams(folder: Path, updates: list[EndpointUpdate]) -> None:
+    """Replace the stored upstreams; an I/O error is only logged."""
+    write_hints(folder / _NAME, updates)
 
 
-def read_upstreams(folder: Path) -> list[EndpointNews]:
-    """What was stored last; nothing if it is not there whole."""
+def read_upstreams(folder: Path) -> list[EndpointUpdate]:
+    """Read the stored upstreams; empty if the file is missing or damaged."""
     return read_hints(folder / _NAME, _DECODER)
--- a/src/scalebend/utils/__init__.py
+++ b/src/scalebend/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small single-purpose helpers without state."""
+"""Small single-purpose helpers."""
--- a/src/scalebend/utils/addresses.py
+++ b/src/scalebend/utils/addresses.py
@@ -7,14 +7,14 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``text``; raise ``ValueError`` when it is not one."""
+    """Parse ``IP:port``; raise ``ValueError`` if it is malformed."""
     host, separator, port = text.rpartition(":")
     if not separator:
         raise ValueError(f"expected IP:port, got {text!r}")
--- a/src/scalebend/utils/decimals.py
+++ b/src/scalebend/utils/decimals.py
@@ -1,4 +1,4 @@
-"""Reads plain decimal numbers of other programs' headers."""
+"""Parses plain decimal numbers in headers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 _DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-def read_decimal(text: str | None) -> float | None:
-    """The number, or ``None`` for what is none: signs, exponents, dates, words."""
+def parse_decimal(text: str | None) -> float | None:
+    """Parse an unsigned decimal without exponent; ``None`` for anything else."""
     if text is None or not _DECIMAL.fullmatch(text):
         return None
     return float(text)
--- a/src/scalebend/utils/division.py
+++ b/src/scalebend/utils/division.py
@@ -4,5 +4,5 @@
 
 
 def divide_up(amount: int, parts: int) -> int:
-    """Return the size of each of ``parts`` parts of ``amount``, rounded up."""
+    """Divide ``amount`` by ``parts``, rounded up."""
     return -(-amount // parts)
--- a/src/scalebend/utils/documents.py
+++ b/src/scalebend/utils/documents.py
@@ -1,4 +1,4 @@
-"""Decode JSON documents into data classes, naming every fault by its JSON path."""
+"""Decode JSON documents into data classes, reporting all errors by JSON path."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def decode_document(data: bytes, type_: type[T], kind: ErrorKind) -> T:
-    """Decode ``data`` as ``type_``; raise :class:`DocumentError` with all faults."""
+    """Decode ``data`` as ``type_``; raise :class:`DocumentError` if it is invalid."""
     try:
         return msgspec.json.decode(data, type=type_)
     except msgspec.ValidationError:
@@ -31,8 +31,7 @@
 
 
 def _list_faults(data: bytes, type_: type[Any]) -> list[Fault]:
-    # Imported here: the validator is only needed for a document with faults, and
-    # costs memory that a running instance does not have to spare.
+    # Imported on first use, to save memory: only invalid documents need it.
     from jsonschema import Draft202012Validator
 
     document = msgspec.json.decode(data)
--- a/src/scalebend/utils/keys.py
+++ b/src/scalebend/utils/keys.py
@@ -1,4 +1,4 @@
-"""Hash and compare secret keys without keeping or leaking them."""
+"""Hash secret keys and compare them in constant time."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the stored form of ``key``; keys are random, so no salt is needed."""
+    """Hash ``key`` for storage; keys are random, so no salt is needed."""
     return HASH_PREFIX + hashlib.sha256(key.encode()).hexdigest()
 
 
 def is_known_key(key: str, hashes: Iterable[str]) -> bool:
-    """Compare ``key`` with every hash in constant time per hash."""
+    """Whether the hash of ``key`` is listed; takes constant time per hash."""
     digest = hash_key(key)
     found = False
     for known in hashes:
--- a/src/scalebend/utils/quantiles.py
+++ b/src/scalebend/utils/quantiles.py
@@ -6,11 +6,11 @@
 from collections.abc import Sequence
 
 
-def read_quantile(values: Sequence[float], part: float) -> float:
-    """Return the value below which ``part`` of ``values`` lies; 0.0 of none."""
+def compute_quantile(values: Sequence[float], share: float) -> float:
+    """Return the value below which ``share`` of ``values`` lies; 0.0 if empty."""
     if not values:
         return 0.0
     if len(values) == 1:
         return values[0]
     cuts = statistics.quantiles(values, n=1_000, method="inclusive")
-    return cuts[min(998, max(0, round(part * 1_000) - 1))]
+    return cuts[min(998, max(0, round(share * 1_000) - 1))]
--- a/tests/functional/test_requests.py
+++ b/tests/functional/test_requests.py
@@ -215,10 +215,10 @@
 
 async def test_draining_engine_gets_no_new_requests():
     async with run_fleet(2) as fleet:
-        fleet.engines[0].state = UpstreamState.LEAVING
+        fleet.engines[0].state = UpstreamState.DRAINING
         record = fleet.runtime.instance.catalog.get("engine-0")
         await fleet.wait_until(
-            lambda: record.announcement.state is UpstreamState.LEAVING
+            lambda: record.announcement.state is UpstreamState.DRAINING
         )
         before = len(fleet.engines[0].started)
         for number in range(8):
--- a/tests/lib/builders.py
+++ b/tests/lib/builders.py
@@ -14,7 +14,7 @@
 from scalebend.models.upstream import (
     Announcement,
     LoadedModel,
-    UpstreamKindName,
+    UpstreamFamily,
     UpstreamState,
 )
 from scalebend.models.work import ReplicaView, Request, Work
@@ -48,7 +48,7 @@
         "memory_tokens": 1_000,
         "prefill_tokens": 900,
         "output_tokens": 100,
-        "patience": 60.0,
+        "timeout_s": 60.0,
         **changes,
     }
     return Work(**values)
@@ -71,7 +71,7 @@
 def build_announcement(upstream: str = UPSTREAM, **changes: object) -> Announcement:
     values = {
         "upstream": UpstreamId(upstream),
-        "family": UpstreamKindName.ENGINE,
+        "family": UpstreamFamily.ENGINE,
         "address": "127.0.0.1:9000",
         "incarnation": Incarnation(1),
         "availability_zone": ZONE,
@@ -89,7 +89,7 @@
 def build_service_announcement(upstream: str = "orders-1") -> Announcement:
     return build_announcement(
         upstream,
-        family=UpstreamKindName.SERVICE,
+        family=UpstreamFamily.SERVICE,
         service=ServiceName("work-orders"),
         models=[],
         memory_tokens=0,
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -25,12 +25,12 @@
 PROFILE = EngineProfile(
     slots=8,
     memory_tokens=450_000,
-    steps_per_pass=46,
+    decode_steps_per_batch_step=46,
     step_ms=0.925,
     per_sequence_ms=0.00966,
     context_ms_per_thousand=0.00254,
-    read_tokens_per_second=256_000.0,
-    pairs_ms_per_million=0.0917,
+    prefill_tokens_per_second=256_000.0,
+    attention_ms_per_million_pairs=0.0917,
 )
 
 
@@ -44,7 +44,7 @@
         "is_first_start": True,
         "tolerated_losses": 1,
         "heartbeat_interval": 1.2,
-        "bounds": Bounds(retry_slack=7.0, hold_most=3.0),
+        "bounds": Bounds(retry_slack=7.0, max_reservation_s=3.0),
         "callers_address": "127.0.0.1:8000",
         "readiness_address": "127.0.0.1:8001",
         "metrics_port": 7355,
@@ -63,7 +63,7 @@
         "target_latency": 0.3,
         "priority": 0,
         "services": (WeightedService(SERVICE, 1.0),),
-        "attempts_most": 2,
+        "max_attempts": 2,
         "is_public": False,
         "is_resumable": False,
         "event_gap": None,
--- a/tests/unit/gateway/test_attempts.py
+++ b/tests/unit/gateway/test_attempts.py
@@ -7,7 +7,12 @@
 from scalebend.models.routing import RouteKind
 from tests.lib.gateway_builders import build_call, build_route
 
-MAY_HAVE_RUN = {Outcome.FAILED, Outcome.BROKEN, Outcome.SILENT, Outcome.TIMED_OUT}
+MAY_HAVE_RUN = {
+    Outcome.FAILED,
+    Outcome.INTERRUPTED,
+    Outcome.UNRESPONSIVE,
+    Outcome.TIMED_OUT,
+}
 
 
 def build_budget(allowance=1_000.0):
@@ -39,15 +44,15 @@
 
 @given(OUTCOMES)
 def test_non_idempotent_request_runs_at_most_once(outcomes):
-    call = build_call(build_route(kind=RouteKind.NON_IDEMPOTENT, attempts_most=3))
+    call = build_call(build_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=3))
     used, end = run_attempts(call, outcomes)
     assert sum(outcome in MAY_HAVE_RUN for outcome in used) <= 1
     assert end is not None
 
 
 @given(OUTCOMES, st.sampled_from(RouteKind), st.integers(1, 3))
-def test_request_reported_as_not_run_never_ran(outcomes, kind, attempts_most):
-    call = build_call(build_route(kind=kind, attempts_most=attempts_most))
+def test_request_reported_as_not_run_never_ran(outcomes, kind, max_attempts):
+    call = build_call(build_route(kind=kind, max_attempts=max_attempts))
     used, end = run_attempts(call, outcomes)
     if end is not None and end.ran is Ran.NO:
         assert not any(outcome in MAY_HAVE_RUN for outcome in used)
@@ -56,18 +61,18 @@
 
 
 @given(OUTCOMES, st.integers(1, 3))
-def test_no_more_runs_than_the_route_allows(outcomes, attempts_most):
-    call = build_call(build_route(attempts_most=attempts_most))
+def test_no_more_runs_than_the_route_allows(outcomes, max_attempts):
+    call = build_call(build_route(max_attempts=max_attempts))
     used, _ = run_attempts(call, outcomes)
-    assert sum(outcome in MAY_HAVE_RUN for outcome in used) <= attempts_most
+    assert sum(outcome in MAY_HAVE_RUN for outcome in used) <= max_attempts
 
 
 def test_resumable_stream_is_retried():
     route = build_route(kind=RouteKind.STREAMING, is_resumable=True)
-    _, end = run_attempts(build_call(route), [Outcome.BROKEN])
+    _, end = run_attempts(build_call(route), [Outcome.INTERRUPTED])
     assert end is None
     route = build_route(kind=RouteKind.STREAMING, is_resumable=False)
-    _, end = run_attempts(build_call(route), [Outcome.BROKEN])
+    _, end = run_attempts(build_call(route), [Outcome.INTERRUPTED])
     assert end.ran is Ran.UNKNOWN
 
 
@@ -78,7 +83,7 @@
 
 
 def test_empty_budget_ends_the_call():
-    _, end = run_attempts(build_call(), [Outcome.BROKEN], build_budget(0.0))
+    _, end = run_attempts(build_call(), [Outcome.INTERRUPTED], build_budget(0.0))
     assert end.kind is ErrorKind.UPSTREAM_FAILED
 
 
@@ -91,12 +96,12 @@
 
 def test_no_attempt_starts_shortly_before_the_deadline():
     attempts = Attempts(build_call(deadline=1.0))
-    decision = attempts.decide(Outcome.BROKEN, "i-1", build_budget(), 0.99)
+    decision = attempts.decide(Outcome.INTERRUPTED, "i-1", build_budget(), 0.99)
     assert isinstance(decision, GiveUp)
 
 
 def test_replica_gone_before_the_send_uses_no_retry_budget():
     attempts = Attempts(build_call())
-    decision = attempts.decide(Outcome.LEFT, "i-1", build_budget(0.0), 0.0)
+    decision = attempts.decide(Outcome.WITHDRAWN, "i-1", build_budget(0.0), 0.0)
     assert decision == TryAgain()
     assert not attempts.may_have_run
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -24,7 +24,7 @@
     Subscribe,
 )
 from scalebend.core.gateway.routing_store import RoutingUpdate, pack_routing
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.models.ids import InstanceId, Term
 from scalebend.models.placement import JobStage, OpenJob, Placement
 from tests.lib.gateway_builders import (
@@ -111,7 +111,7 @@
 
 def test_registration_from_a_peer_is_sent_to_fronts(group):
     group.instance.add_front(FRONT, group.now)
-    message = Registrations([EndpointNews(build_endpoint(), is_gone=False)])
+    message = Registrations([EndpointUpdate(build_endpoint(), is_gone=False)])
     actions = group.instance.handle_peer("x", message, group.now, 0.0)
     assert len(list_messages_to_fronts(actions, EndpointChanges)) == 1
 
@@ -241,7 +241,7 @@
         group.pump()
     group.put(build_routing(1, services=[build_service(engine=PROFILE)]))
     placement = Placement("i-1", "a", (), 0.1)
-    opened = OpenJob(build_quick(7), placement, is_writing=False)
+    opened = OpenJob(build_quick(7), placement, is_decoding=False)
     group.instance.handle_front(FRONT, OpenJobs([opened]), group.now)
     group.instance.advance(group.now)
     assert group.instance.scheduler.open_jobs == 1
--- a/tests/unit/gateway/test_draining_in_responses.py
+++ b/tests/unit/gateway/test_draining_in_responses.py
@@ -4,7 +4,7 @@
 from aiohttp import web
 
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
-from scalebend.models.endpoints import EndpointNews, build_upstream_id
+from scalebend.models.endpoints import EndpointUpdate, build_upstream_id
 from scalebend.platform.headers import build_answer_headers
 from tests.lib.front import run_front, serve
 from tests.lib.gateway_builders import build_endpoint, build_quick, build_routing
@@ -47,10 +47,10 @@
     ready = build_endpoint(1, sequence=7)
     directory.register(ready, 0.0)
     late = msgspec.structs.replace(ready, sequence=5, is_draining=True)
-    assert directory.merge(EndpointNews(late, is_gone=False), 1.0) is not None
+    assert directory.merge(EndpointUpdate(late, is_gone=False), 1.0) is not None
     assert not directory.is_usable(ready.upstream)
     # Only once, and the newer sequence of the registration stays.
-    assert directory.merge(EndpointNews(late, is_gone=False), 2.0) is None
+    assert directory.merge(EndpointUpdate(late, is_gone=False), 2.0) is None
     assert directory.get(ready.upstream).sequence == 7
     again = msgspec.structs.replace(ready, sequence=9)
     directory.register(again, 3.0)
--- a/tests/unit/gateway/test_endpoint_directory.py
+++ b/tests/unit/gateway/test_endpoint_directory.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from tests.lib.gateway_builders import SERVICE, build_endpoint
 
 
@@ -47,7 +47,7 @@
 def test_timeout_at_a_peer_does_not_override_a_newer_registration():
     directory = EndpointDirectory(10.0)
     directory.register(build_endpoint(sequence=5), 0.0)
-    stale = EndpointNews(build_endpoint(sequence=3), is_gone=True)
+    stale = EndpointUpdate(build_endpoint(sequence=3), is_gone=True)
     assert directory.merge(stale, 1.0) is None
     assert list_ids(directory) == {"i-1"}
 
@@ -99,7 +99,7 @@
         fresh = EndpointDirectory(1_000.0)
         for news in self.receiver.list_updates():
             copy = msgspec.msgpack.decode(
-                msgspec.msgpack.encode(news), type=EndpointNews
+                msgspec.msgpack.encode(news), type=EndpointUpdate
             )
             fresh.merge(copy, 0.0)
         assert list_ids(fresh) == list_ids(self.receiver)
@@ -170,13 +170,13 @@
     # A front receives each change once and must end in the state of the sender.
     front = EndpointDirectory(10.0, registrations_to_regain_address=1)
     live, stale = at_address(2, sequence=4), at_address(1, sequence=9)
-    front.merge(EndpointNews(at_address(1, sequence=1), False), 0.0)
-    front.merge(EndpointNews(live, False), 1.0)
+    front.merge(EndpointUpdate(at_address(1, sequence=1), False), 0.0)
+    front.merge(EndpointUpdate(live, False), 1.0)
     assert list_usable(front) == {"i-2"}
     # A control instance that has just started accepted a delayed registration.
-    front.merge(EndpointNews(stale, False), 2.0)
+    front.merge(EndpointUpdate(stale, False), 2.0)
     assert list_usable(front) == {"i-1"}
-    front.merge(EndpointNews(live, False), 2.1)
+    front.merge(EndpointUpdate(live, False), 2.1)
     assert list_usable(front) == {"i-2"}
 
 
--- a/tests/unit/gateway/test_engine_scheduler.py
+++ b/tests/unit/gateway/test_engine_scheduler.py
@@ -203,7 +203,7 @@
     work = build_work("long", 210_000)
     placement = place(old, work)
     new = EngineScheduler()
-    new.adopt(OpenJob(work, placement, is_writing=False, age=0.1), PROFILE, 0.1)
+    new.adopt(OpenJob(work, placement, is_decoding=False, age=0.1), PROFILE, 0.1)
     busy = {one.upstream for one in new.list_busy(0.1, 32)}
     assert busy == {placement.upstream, *(h.upstream for h in placement.helpers)}
 
@@ -291,7 +291,7 @@
 def test_uncoordinated_fronts_do_not_overfill_idle_replicas():
     leader, fronts = build_loaded_leader()
     busy = leader.list_busy(0.0, len(FLEET))
-    load = Counter({one.upstream: one.writing for one in busy})
+    load = Counter({one.upstream: one.decoding for one in busy})
     # One request per front.
     for number, front in enumerate(fronts):
         load[place(front, build_quick(f"a{number}"), 0.1, FLEET).upstream] += 1
--- a/tests/unit/gateway/test_foreign_messages.py
+++ b/tests/unit/gateway/test_foreign_messages.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies as st
 
 from scalebend.exceptions import DocumentError, ErrorKind, RequestError
-from scalebend.models.endpoints import LONGEST_NAME, MOST_SLOTS, Departure
+from scalebend.models.endpoints import MAX_NAME_CHARS, MAX_SLOTS, Deregistration
 from scalebend.platform.headers import read_answer_headers
 from scalebend.platform.registrations import decode_departure, decode_registration
 from scalebend.platform.reports import decode_report
@@ -31,7 +31,7 @@
 BAD_VALUES = [
     ("Service", ""),
     ("Service", 7),
-    ("Service", "s" * (LONGEST_NAME + 1)),
+    ("Service", "s" * (MAX_NAME_CHARS + 1)),
     ("Address", ""),
     ("Address", "nonsense"),
     ("Address", "10.1.64.1"),
@@ -46,7 +46,7 @@
     ("Version", 3),
     ("Slots", 0),
     ("Slots", -4),
-    ("Slots", MOST_SLOTS + 1),
+    ("Slots", MAX_SLOTS + 1),
     ("Slots", 1_000_000_000),
     ("Slots", 10**30),
     ("Slots", "8"),
@@ -97,7 +97,7 @@
 def test_message_with_a_wrong_field_is_refused(name, value):
     with pytest.raises(DocumentError) as caught:
         decode_registration("i-1", encode(**{name: value}))
-    assert caught.value.answer.status == 400
+    assert caught.value.response.status == 400
 
 
 @pytest.mark.parametrize("name", ["", "a/b", "i-1~19af", "a b", "a\n", "x" * 300])
@@ -109,9 +109,9 @@
 
 
 def test_departure_names_an_incarnation_or_none():
-    assert decode_departure("i-1", b"") == Departure("i-1", None)
-    assert decode_departure("i-1", b"{}") == Departure("i-1", None)
-    assert decode_departure("i-1", b'{"born": 7}') == Departure("i-1", 7)
+    assert decode_departure("i-1", b"") == Deregistration("i-1", None)
+    assert decode_departure("i-1", b"{}") == Deregistration("i-1", None)
+    assert decode_departure("i-1", b'{"born": 7}') == Deregistration("i-1", 7)
     for body in (b"\xff", b"[", b"[]", b'{"born": "7"}', b'{"born": 7.5}'):
         with pytest.raises(DocumentError):
             decode_departure("i-1", body)
@@ -146,7 +146,7 @@
     "text", ["", "-1", "1e3", "nan", "inf", "1,5", " 2", "2 ", "+2", "x", "9" * 10]
 )
 def test_limit_that_is_none(text):
-    assert read_answer_headers(200, {"Server-Limit": text}).request_limit is None
+    assert read_answer_headers(200, {"Server-Limit": text}).rate_limit is None
 
 
 @pytest.mark.parametrize(
@@ -208,7 +208,7 @@
     after = list_fleet(single)
     if not is_valid_change(name, value):
         assert after == before
-    assert all(isinstance(e.slots, int) and 0 < e.slots <= MOST_SLOTS for e in after)
+    assert all(isinstance(e.slots, int) and 0 < e.slots <= MAX_SLOTS for e in after)
 
 
 def is_valid_change(name, value):
--- a/tests/unit/gateway/test_front_instance.py
+++ b/tests/unit/gateway/test_front_instance.py
@@ -15,7 +15,7 @@
 )
 from scalebend.core.gateway.placement_repair import drop_replicas
 from scalebend.core.gateway.routing_store import build_update
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.models.gateway_settings import Bounds, GatewayRole, GatewaySettings
 from scalebend.models.ids import AvailabilityZone
 from scalebend.models.placement import JobStage
@@ -138,7 +138,7 @@
 def test_new_leader_receives_open_jobs_with_their_age(front):
     apply_routing(front, build_routing(1, services=[build_service(engine=PROFILE)]))
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.0)
-    front.handle(A, EndpointChanges([EndpointNews(build_endpoint(), False)]), 1.0)
+    front.handle(A, EndpointChanges([EndpointUpdate(build_endpoint(), False)]), 1.0)
     for number in (1, 2):
         work = build_quick(number)
         front.open_job(work, front.place(work, 1.0), 1.0, is_uncoordinated=True)
@@ -149,7 +149,7 @@
     (message,) = list_messages(actions, OpenJobs)
     (job,) = msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=OpenJobs).jobs
     assert job.work.job == "front-1-2"
-    assert job.is_writing
+    assert job.is_decoding
     assert job.age == 1.0
 
 
@@ -170,7 +170,7 @@
 def long_job(front):
     """A long prompt that is queued on several replicas, and its placement."""
     apply_routing(front, build_routing(1, services=[build_service(engine=PROFILE)]))
-    changes = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
+    changes = [EndpointUpdate(build_endpoint(n), False) for n in range(1, 19)]
     front.handle(A, EndpointChanges(changes), 1.0)
     work = build_work("long", 210_000)
     placement = front.place(work, 1.0)
@@ -181,7 +181,7 @@
 
 def start_drain(front, upstream, now):
     number = int(upstream.removeprefix("i-"))
-    change = EndpointNews(build_endpoint(number, sequence=2, is_draining=True), False)
+    change = EndpointUpdate(build_endpoint(number, sequence=2, is_draining=True), False)
     front.handle(A, EndpointChanges([change]), now)
 
 
@@ -236,7 +236,7 @@
 
 def test_leader_receives_uncoordinated_jobs(front):
     apply_routing(front, build_routing(1, services=[build_service(engine=PROFILE)]))
-    changes = [EndpointNews(build_endpoint(n), False) for n in range(1, 19)]
+    changes = [EndpointUpdate(build_endpoint(n), False) for n in range(1, 19)]
     front.handle(A, EndpointChanges(changes), 1.0)
     front.handle(A, ControlStatus([A, B], A, 1, 2), 1.2)
     work = build_work("short", 5_000)
--- a/tests/unit/gateway/test_heard_limits.py
+++ b/tests/unit/gateway/test_heard_limits.py
@@ -3,9 +3,9 @@
 import pytest
 from aiohttp import web
 
-from scalebend.core.request_limits import ABSENT_RETENTION_S, RequestLimits
+from scalebend.core.rate_limits import ABSENT_RETENTION_S, RateLimits
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED, HeardLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit
 from tests.lib.front import run_front, serve
 from tests.lib.gateway_builders import build_routing
 
@@ -13,12 +13,12 @@
 
 
 def apply(limits, rate, revision):
-    changed = limits.apply(HeardLimit(UPSTREAM, rate, revision))
+    changed = limits.apply(ObservedLimit(UPSTREAM, rate, revision))
     return changed.revision if changed is not None else None
 
 
 def test_lower_limit_applies_from_any_response():
-    limits = RequestLimits()
+    limits = RateLimits()
     assert apply(limits, 4.0, revision=0) == 1
     assert apply(limits, 2.0, revision=0) == 2
     assert limits.get(UPSTREAM).rate == 2.0
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("rate", [4.0, UNLIMITED])
 def test_higher_limit_applies_only_if_sent_under_the_current_revision(rate):
-    limits = RequestLimits()
+    limits = RateLimits()
     apply(limits, 2.0, revision=0)
     # The response to a request that was sent before the limit was known.
     assert apply(limits, rate, revision=0) is None
@@ -36,7 +36,7 @@
 
 
 def test_limit_named_again_after_its_end_has_a_new_revision():
-    limits = RequestLimits()
+    limits = RateLimits()
     apply(limits, 2.0, revision=0)
     apply(limits, UNLIMITED, revision=1)
     assert not limits.is_limited(UPSTREAM)
@@ -46,7 +46,7 @@
 
 
 def test_absent_upstreams_expire():
-    limits = RequestLimits()
+    limits = RateLimits()
     apply(limits, 2.0, revision=0)
     limits.retain([UPSTREAM], 0.0)
     limits.retain([], 1.0)
--- a/tests/unit/gateway/test_incarnations.py
+++ b/tests/unit/gateway/test_incarnations.py
@@ -13,8 +13,8 @@
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.outlier_detector import OutlierDetector
 from scalebend.models.endpoints import (
-    Departure,
-    EndpointNews,
+    Deregistration,
+    EndpointUpdate,
     UpstreamOutcomes,
     build_upstream_id,
     get_upstream_born,
@@ -65,8 +65,8 @@
 def test_next_incarnation_is_usable_after_any_end_of_the_previous_one():
     ends = [
         lambda d: d.register(build_incarnation(1, sequence=41, is_draining=True), 1.0),
-        lambda d: d.deregister(Departure("i-1", None), 1.0),
-        lambda d: d.deregister(Departure("i-1", BORN + 1), 1.0),
+        lambda d: d.deregister(Deregistration("i-1", None), 1.0),
+        lambda d: d.deregister(Deregistration("i-1", BORN + 1), 1.0),
         lambda d: d.expire(11.0),
         lambda d: None,
     ]
@@ -84,8 +84,8 @@
     directory.register(build_incarnation(2), 1.0)
     late = build_incarnation(1, sequence=99, is_draining=True)
     assert directory.register(late, 1.5) is None
-    assert directory.deregister(Departure("i-1", BORN + 1), 1.5) is None
-    assert directory.merge(EndpointNews(late, is_gone=True), 1.5) is None
+    assert directory.deregister(Deregistration("i-1", BORN + 1), 1.5) is None
+    assert directory.merge(EndpointUpdate(late, is_gone=True), 1.5) is None
     # From another source, or from before the platform reported start times.
     assert directory.register(build_incarnation(0, sequence=99), 1.5) is None
     assert list_ids(directory) == {id_of(2)}
@@ -106,7 +106,7 @@
     directory = EndpointDirectory(10.0)
     directory.register(build_incarnation(0, sequence=4), 0.0)
     assert directory.register(build_incarnation(0, sequence=3), 1.0) is None
-    directory.deregister(Departure("i-1", None), 2.0)
+    directory.deregister(Deregistration("i-1", None), 2.0)
     assert directory.register(build_incarnation(0, sequence=9), 3.0) is None
     assert not list_ids(directory)
 
@@ -137,9 +137,9 @@
 
 def test_front_ends_attempts_on_a_superseded_incarnation():
     front = FrontInstance(build_settings(), now=0.0)
-    first = EndpointChanges([EndpointNews(build_incarnation(1), is_gone=False)])
+    first = EndpointChanges([EndpointUpdate(build_incarnation(1), is_gone=False)])
     assert front.handle("c", first, 0.0) == []
-    again = EndpointChanges([EndpointNews(build_incarnation(2), is_gone=False)])
+    again = EndpointChanges([EndpointUpdate(build_incarnation(2), is_gone=False)])
     assert front.handle("c", again, 1.0) == [EndAttempts([id_of(1)])]
     # Repeated by another control instance, and out of order.
     assert front.handle("c", again, 1.1) == []
@@ -148,9 +148,11 @@
 
 def test_draining_upstream_finishes_its_attempts():
     front = FrontInstance(build_settings(), now=0.0)
-    front.handle("c", EndpointChanges([EndpointNews(build_incarnation(1), False)]), 0.0)
+    front.handle(
+        "c", EndpointChanges([EndpointUpdate(build_incarnation(1), False)]), 0.0
+    )
     drains = build_incarnation(1, sequence=2, is_draining=True)
-    for news in (EndpointNews(drains, False), EndpointNews(drains, True)):
+    for news in (EndpointUpdate(drains, False), EndpointUpdate(drains, True)):
         assert front.handle("c", EndpointChanges([news]), 1.0) == []
 
 
@@ -203,13 +205,15 @@
         self.record_newest(number, incarnation, change)
         known = self.controls[number].get(message.upstream)
         if known is not None:
-            self.to_peers.append((1 - number, EndpointNews(known, is_gone=False)))
+            self.to_peers.append((1 - number, EndpointUpdate(known, is_gone=False)))
         if message.is_draining:
             self.drained.add(incarnation)
 
     @rule(message=sent, number=st.integers(0, 1))
     def leave(self, message, number):
-        change = self.controls[number].deregister(Departure("i-1", message.born), 0.0)
+        change = self.controls[number].deregister(
+            Deregistration("i-1", message.born), 0.0
+        )
         if change is not None:
             self.drained.add(message.born - BORN)
             self.to_peers.append((1 - number, change))
@@ -254,7 +258,7 @@
         fresh = EndpointDirectory(1_000.0)
         for news in self.front.list_updates():
             data = msgspec.msgpack.encode(news)
-            fresh.merge(msgspec.msgpack.decode(data, type=EndpointNews), 0.0)
+            fresh.merge(msgspec.msgpack.decode(data, type=EndpointUpdate), 0.0)
         assert list_ids(fresh) == expected
 
 
--- a/tests/unit/gateway/test_limit_exchange.py
+++ b/tests/unit/gateway/test_limit_exchange.py
@@ -6,8 +6,8 @@
     LimitExchange,
 )
 from scalebend.core.gateway.messages import FrontNumber, LimitUpdates, SendPermitRequest
-from scalebend.models.ids import InstanceId, SendId, UpstreamId
-from scalebend.models.request_limits import HeardLimit, RequestLimit
+from scalebend.models.ids import InstanceId, SendPermitId, UpstreamId
+from scalebend.models.rate_limits import ObservedLimit, RateLimit
 
 UPSTREAM = UpstreamId("i-1")
 FRONTS = [InstanceId(f"front-{number}") for number in range(4)]
@@ -17,14 +17,14 @@
     exchange = LimitExchange()
     for front in FRONTS:
         exchange.add_front(front, 0.0)
-    exchange.receive(FRONTS[0], [HeardLimit(UPSTREAM, 1.0, 0)], 0.0)
+    exchange.receive(FRONTS[0], [ObservedLimit(UPSTREAM, 1.0, 0)], 0.0)
     return exchange
 
 
 def count_granted(exchange, start, seconds, *, may_grant=True):
     granted = 0
     for step in range(seconds * 10):
-        request = SendPermitRequest(SendId(step), [UPSTREAM], 0.0)
+        request = SendPermitRequest(SendPermitId(step), [UPSTREAM], 0.0)
         reply = exchange.grant(request, start + step / 10, may_grant=may_grant)
         granted += reply.upstream is not None
     return granted
@@ -57,14 +57,14 @@
     sent = exchange.send_due(1.0, is_leader=True)
     updates = [one.message for one in sent if isinstance(one.message, LimitUpdates)]
     positions = [one.message for one in sent if isinstance(one.message, FrontNumber)]
-    assert updates == [LimitUpdates([RequestLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
+    assert updates == [LimitUpdates([RateLimit(UPSTREAM, 1.0, 1)])] * len(FRONTS)
     # One object for all fronts, so that it is encoded once.
     assert len({id(one) for one in updates}) == 1
     assert positions == [FrontNumber(4, number) for number in range(4)]
     assert exchange.send_due(2.0, is_leader=True) == []
-    exchange.receive(FRONTS[1], [HeardLimit(UPSTREAM, 1.0, 1)], 2.0)
+    exchange.receive(FRONTS[1], [ObservedLimit(UPSTREAM, 1.0, 1)], 2.0)
     assert exchange.send_due(3.0, is_leader=True) == []
-    exchange.receive(FRONTS[1], [HeardLimit(UPSTREAM, 0.5, 1)], 3.0)
+    exchange.receive(FRONTS[1], [ObservedLimit(UPSTREAM, 0.5, 1)], 3.0)
     assert exchange.send_due(3.0 - UPDATE_PERIOD_S, is_leader=True) != []
 
 
@@ -79,15 +79,15 @@
 def test_newly_linked_front_receives_all_limits():
     exchange = build_exchange()
     (snapshot,) = exchange.send_all(FRONTS[2])
-    assert snapshot.message == LimitUpdates([RequestLimit(UPSTREAM, 1.0, 1)])
+    assert snapshot.message == LimitUpdates([RateLimit(UPSTREAM, 1.0, 1)])
     assert LimitExchange().send_all(FRONTS[2]) == []
 
 
 def test_new_leader_merges_latest_revision():
     exchange = LimitExchange()
     exchange.add_front(FRONTS[0], 0.0)
-    exchange.merge(FRONTS[0], [RequestLimit(UPSTREAM, 4.0, 2)], 0.0)
-    exchange.merge(FRONTS[1], [RequestLimit(UPSTREAM, 1.0, 1)], 0.0)
+    exchange.merge(FRONTS[0], [RateLimit(UPSTREAM, 4.0, 2)], 0.0)
+    exchange.merge(FRONTS[1], [RateLimit(UPSTREAM, 1.0, 1)], 0.0)
     assert exchange.limits.get(UPSTREAM).rate == 4.0
-    exchange.merge(FRONTS[2], [RequestLimit(UPSTREAM, 2.0, 2)], 0.0)
+    exchange.merge(FRONTS[2], [RateLimit(UPSTREAM, 2.0, 2)], 0.0)
     assert exchange.limits.get(UPSTREAM).rate == 2.0
--- a/tests/unit/gateway/test_limit_sums.py
+++ b/tests/unit/gateway/test_limit_sums.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from scalebend.models.placement import Placement
-from scalebend.models.request_limits import UNLIMITED, HeardLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit
 from tests.lib.gateway_builders import build_quick
 from tests.lib.gateway_group import build_deployment
 
@@ -174,7 +174,7 @@
         self.responses = [one for one in self.responses if one[0] > now]
         for _, front, job, upstream, known in due:
             rate = self.engines[upstream].rate
-            reported = HeardLimit(upstream, rate, known.revision)
+            reported = ObservedLimit(upstream, rate, known.revision)
             self.deployment.record_stage(front, job, is_ended=True)
             self.deployment.record_limit(front, reported)
 
--- a/tests/unit/gateway/test_limited_engines.py
+++ b/tests/unit/gateway/test_limited_engines.py
@@ -8,7 +8,7 @@
 import random
 
 from scalebend.models.placement import Placement
-from scalebend.models.request_limits import UNLIMITED, HeardLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit
 from tests.lib.gateway_builders import build_quick, build_work
 from tests.lib.gateway_group import build_deployment
 
@@ -83,7 +83,7 @@
         self._open.append((now + RESPONSE_S, front, work.job))
         known = front.limits.get(placement.upstream).revision
         rate = self.limits.get(placement.upstream, UNLIMITED)
-        reported = HeardLimit(placement.upstream, rate, known)
+        reported = ObservedLimit(placement.upstream, rate, known)
         self._responses.append((now + FIRST_TOKEN_S, front, work.job, reported))
 
     def list_busiest(self):
@@ -130,7 +130,7 @@
     names = [endpoint.upstream for endpoint in deployment.endpoints]
     load.limits = dict.fromkeys(names, limit)
     for name in names:
-        deployment.record_limit(deployment.fronts[0], HeardLimit(name, limit, 0))
+        deployment.record_limit(deployment.fronts[0], ObservedLimit(name, limit, 0))
     return names
 
 
@@ -270,7 +270,7 @@
     load.run(2.0)
     limited = {endpoint.upstream for endpoint in deployment.endpoints[:6]}
     for upstream in limited:
-        reported = HeardLimit(upstream, 5.0, 0)
+        reported = ObservedLimit(upstream, 5.0, 0)
         deployment.record_limit(deployment.fronts[0], reported)
     deployment.run(3.0)
     placement = deployment.place(deployment.fronts[1], build_work(9_000, 200_000))
@@ -281,7 +281,7 @@
 def test_long_prompts_are_placed_if_all_engines_are_rate_limited():
     deployment = build_deployment(2, 18, has_engines=True)
     for endpoint in deployment.endpoints:
-        reported = HeardLimit(endpoint.upstream, 1.0, 0)
+        reported = ObservedLimit(endpoint.upstream, 1.0, 0)
         deployment.record_limit(deployment.fronts[0], reported)
     deployment.run(3.0)
     placement = deployment.place(deployment.fronts[1], build_work(1, 200_000))
--- a/tests/unit/gateway/test_lost_replicas.py
+++ b/tests/unit/gateway/test_lost_replicas.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from scalebend.core.gateway.messages import EndpointChanges
-from scalebend.models.endpoints import EndpointNews, build_upstream_id
+from scalebend.models.endpoints import EndpointUpdate, build_upstream_id
 from scalebend.models.routing import RouteKind
 from tests.lib.front import (
     answer_sealed,
@@ -169,7 +169,7 @@
 
 
 def register(front, endpoint):
-    message = EndpointChanges([EndpointNews(endpoint, is_gone=False)])
+    message = EndpointChanges([EndpointUpdate(endpoint, is_gone=False)])
     front.runtime._receive("control", message)
 
 
--- a/tests/unit/gateway/test_platform.py
+++ b/tests/unit/gateway/test_platform.py
@@ -15,7 +15,7 @@
     UpstreamId,
 )
 from scalebend.models.placement import ReplicaReport
-from scalebend.models.request_limits import UNLIMITED
+from scalebend.models.rate_limits import UNLIMITED
 from scalebend.models.routing import RouteKind
 from scalebend.platform.headers import (
     build_upstream_headers,
@@ -82,8 +82,8 @@
     assert routing.version == 4
     assert [route.kind for route in routing.routes] == list(RouteKind)
     assert routing.routes[2].event_gap == 0.2
-    assert routing.routes[2].may_repeat
-    assert not routing.routes[1].may_repeat
+    assert routing.routes[2].is_idempotent
+    assert not routing.routes[1].is_idempotent
     assert routing.customers[0].keys == ("key-1",)
     assert routing.limits.body_bytes == 65_536
     assert routing.needs_key
@@ -128,8 +128,8 @@
     assert read.wait == 2.5
     assert read.key == "k"
     assert read.last_event == 12
-    assert (read.prompt.prompt, read.prompt.output_most) == (1460, 80)
-    assert read.prompt.output_expected == 80
+    assert (read.prompt.prompt, read.prompt.max_output_tokens) == (1460, 80)
+    assert read.prompt.expected_output_tokens == 80
 
 
 def test_malformed_numbers_count_as_not_given():
@@ -186,11 +186,11 @@
     assert not read_answer_headers(500, {"X-Server-Load": "1,2"}).has_not_run
     load = read_answer_headers(200, {"X-Server-Load": "3,0,8"}).load
     assert (load.running, load.waiting, load.slots) == (3, 0, 8)
-    assert read_answer_headers(200, {"Server-Limit": "1.25"}).request_limit == 1.25
-    assert read_answer_headers(503, {"Server-Limit": "0"}).request_limit == 0.0
-    assert read_answer_headers(200, {}).request_limit == UNLIMITED
+    assert read_answer_headers(200, {"Server-Limit": "1.25"}).rate_limit == 1.25
+    assert read_answer_headers(503, {"Server-Limit": "0"}).rate_limit == 0.0
+    assert read_answer_headers(200, {}).rate_limit == UNLIMITED
     # Another upstream answered at this address.
-    assert read_answer_headers(421, {"Server-Limit": "3"}).request_limit is None
+    assert read_answer_headers(421, {"Server-Limit": "3"}).rate_limit is None
     assert not read_answer_headers(421, {"Server-Leaving": "1"}).is_draining
     assert read_answer_headers(200, {"Server-Leaving": "1"}).is_draining
     assert not read_answer_headers(200, {"Server-Leaving": "0"}).is_draining
--- a/tests/unit/gateway/test_silent_ends.py
+++ b/tests/unit/gateway/test_silent_ends.py
@@ -9,7 +9,7 @@
 from scalebend.core.crash_ledger import CRASHES_UNTIL_QUARANTINE
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.unanswered_attempts import RETENTION_S, UnansweredAttempts
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.models.ids import Fingerprint
 from scalebend.models.routing import RouteKind
 from tests.lib.front import answer_sealed, run_front, serve
@@ -45,7 +45,7 @@
         endpoint = front.add(number, hanging)
         await send(front, 504)
         gone = build_endpoint(number, address=hanging, is_draining=is_draining)
-        apply_changes(front, EndpointNews(gone, is_gone=True))
+        apply_changes(front, EndpointUpdate(gone, is_gone=True))
         assert front.runtime.instance.directory.get(endpoint.upstream) is None
 
 
@@ -62,7 +62,8 @@
             front.add(number, hanging)
             await send(front, 504)
             apply_changes(
-                front, EndpointNews(build_endpoint(number + 1, address=hanging), False)
+                front,
+                EndpointUpdate(build_endpoint(number + 1, address=hanging), False),
             )
         await send(front, 503)
 
@@ -99,7 +100,7 @@
         await send(front, 200)
         for number in range(1, CRASHES_UNTIL_QUARANTINE + 1):
             gone = build_endpoint(number, address=hanging)
-            apply_changes(front, EndpointNews(gone, is_gone=True))
+            apply_changes(front, EndpointUpdate(gone, is_gone=True))
         await send(front, 200)
 
 
--- a/tests/unit/gateway/test_unknown_words.py
+++ b/tests/unit/gateway/test_unknown_words.py
@@ -11,11 +11,11 @@
 
 def test_words_that_are_read_are_known():
     headers = build_answer_headers(
-        "r", "seal", has_not_run=True, request_limit=1.0, backoff=1.0, is_draining=True
+        "r", "seal", has_not_run=True, rate_limit=1.0, backoff=1.0, is_draining=True
     )
     headers["X-Server-Load"] = "1,0,8"
     headers["Server"] = "engine/1"
-    assert read_answer_headers(200, headers).unknown_words == ()
+    assert read_answer_headers(200, headers).unknown_headers == ()
 
 
 async def test_unknown_word_is_counted_and_told_once_without_its_value():
--- a/tests/unit/gateway/test_update_batch.py
+++ b/tests/unit/gateway/test_update_batch.py
@@ -9,7 +9,7 @@
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.update_batch import BATCH_INTERVAL_S, UpdateBatch
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from tests.lib.gateway_builders import SERVICE, build_endpoint
 from tests.unit.gateway.test_control_instance import FRONT, SingleMemberGroup
 
@@ -21,7 +21,7 @@
 
 
 def build_news(number, **changes):
-    return EndpointNews(build_endpoint(number, **changes), is_gone=False)
+    return EndpointUpdate(build_endpoint(number, **changes), is_gone=False)
 
 
 def test_fronts_get_few_messages_when_a_fleet_starts():
@@ -63,7 +63,7 @@
     assert batch.add([build_news(2)], 0.01) == []
     is_draining = build_news(3, is_draining=True)
     assert batch.add([is_draining], 0.02) == [build_news(2), is_draining]
-    gone = EndpointNews(build_endpoint(1), is_gone=True)
+    gone = EndpointUpdate(build_endpoint(1), is_gone=True)
     assert batch.add([gone], 0.03) == [gone]
 
 
--- a/tests/unit/gateway/test_upstream_file.py
+++ b/tests/unit/gateway/test_upstream_file.py
@@ -5,13 +5,13 @@
 import msgspec
 import pytest
 
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.storage.upstream_file import read_upstreams, write_upstreams
 from tests.lib.gateway_builders import build_endpoint
 
 NEWS = [
-    EndpointNews(build_endpoint(1), is_gone=False),
-    EndpointNews(build_endpoint(2, is_draining=True), is_gone=True),
+    EndpointUpdate(build_endpoint(1), is_gone=False),
+    EndpointUpdate(build_endpoint(2, is_draining=True), is_gone=True),
 ]
 
 
--- a/tests/unit/test_bounded_writer.py
+++ b/tests/unit/test_bounded_writer.py
@@ -1,3 +1,5 @@
+"""A stalled or closed reader of the log neither blocks the process nor fills memory."""
+
 import os
 
 from scalebend.utils.bounded_writer import BoundedWriter
@@ -20,16 +22,16 @@
 
 def test_stalled_reader_neither_blocks_nor_fills_memory():
     reader, writer = os.pipe()
-    stream = BoundedWriter(writer, most_held=100_000)
+    stream = BoundedWriter(writer, max_buffered_bytes=100_000)
     for _ in range(5_000):
         stream.write(LINE)
-    assert stream._held_bytes <= 100_000
+    assert stream._buffered_bytes <= 100_000
     assert stream.dropped > 4_000
 
 
-def test_lines_go_on_whole_and_the_dropped_are_counted():
+def test_lines_stay_whole_and_dropped_ones_are_counted():
     reader, writer = os.pipe()
-    stream = BoundedWriter(writer, most_held=100_000)
+    stream = BoundedWriter(writer, max_buffered_bytes=100_000)
     for _ in range(1_000):
         stream.write(LINE)
     text = b""
@@ -41,10 +43,10 @@
     assert b"log lines dropped" in lines[-1]
 
 
-def test_closed_reader_is_survived():
+def test_closed_reader_is_ignored():
     reader, writer = os.pipe()
     os.close(reader)
     stream = BoundedWriter(writer)
     stream.write(LINE)
     stream.write(LINE)
-    assert stream._held_bytes == 0
+    assert stream._buffered_bytes == 0
--- a/tests/unit/test_crash_ledger.py
+++ b/tests/unit/test_crash_ledger.py
@@ -100,7 +100,7 @@
     assert len(ledger._succeeded_at) == MAX_SUCCESSES
     assert ledger.compute_quarantine(CAUSE, 0.0) > 0.0
     assert all(
-        len(one.ended) <= MAX_UPSTREAMS_PER_RECORD for one in ledger.list_records()
+        len(one.upstreams) <= MAX_UPSTREAMS_PER_RECORD for one in ledger.list_records()
     )
 
 
--- a/tests/unit/test_decision_cost.py
+++ b/tests/unit/test_decision_cost.py
@@ -124,7 +124,7 @@
     view = build_view(concurrency=1, memory_tokens=10**9, prefill_rate=1e9)
     owner = ReplicaOwner(view, policy, shares, incarnation=1)
     for number in range(2_000):
-        work = build_work(f"w{number}", customer=f"c{number % 40}", patience=1e9)
+        work = build_work(f"w{number}", customer=f"c{number % 40}", timeout_s=1e9)
         owner.handle(Reserve(work), 0.0)
     names = itertools.count(2_000)
 
@@ -132,7 +132,7 @@
         (held,) = owner.ledger.list_reserved()
         owner.handle(Started(held, UPSTREAM), 0.0)
         owner.handle(Release(held, UPSTREAM, Outcome.FINISHED, 100), 0.0)
-        work = build_work(f"w{next(names)}", customer="c1", patience=1e9)
+        work = build_work(f"w{next(names)}", customer="c1", timeout_s=1e9)
         owner.handle(Reserve(work), 0.0)
 
     benchmark(decide)
--- a/tests/unit/test_entry.py
+++ b/tests/unit/test_entry.py
@@ -76,7 +76,7 @@
 
 def test_unstarted_request_is_retried_elsewhere_and_reported_as_not_run():
     entry = build_entry()
-    work, actions = start_request(entry, build_request("r", repeatable=False))
+    work, actions = start_request(entry, build_request("r", is_idempotent=False))
     assert find_action(actions, ClaimKey)
     actions = entry.handle_claim("r", None, 0.0)
     assert find_action(actions, StartAttempt).upstreams == (work.upstream,)
@@ -92,7 +92,7 @@
 
 def test_request_not_to_be_repeated_is_never_sent_twice():
     entry = build_entry()
-    work, _ = start_request(entry, build_request("r", repeatable=False))
+    work, _ = start_request(entry, build_request("r", is_idempotent=False))
     entry.handle_claim("r", None, 0.0)
     actions = entry.handle_result(work.attempt, Interrupted("lost"), 0.0)
     assert find_action(actions, Conclude).error.ran is Ran.UNKNOWN
@@ -101,7 +101,7 @@
 
 def test_rejected_claim_starts_no_attempt():
     entry = build_entry()
-    work, _ = start_request(entry, build_request("r", repeatable=False))
+    work, _ = start_request(entry, build_request("r", is_idempotent=False))
     actions = entry.handle_claim("r", ClaimError("taken"), 0.0)
     assert find_action(actions, StartAttempt) is None
     assert find_action(actions, Conclude).error.kind is ErrorKind.ALREADY_CLAIMED
@@ -216,7 +216,7 @@
 def test_refused_transfer_goes_to_another_engine():
     entry = build_entry(engines=5, strategy="split-fair")
     work, target = run_prefill(entry)
-    refusal = Refusal(target.attempt, target.upstream, RefusalReason.LEAVING, 1.0)
+    refusal = Refusal(target.attempt, target.upstream, RefusalReason.DRAINING, 1.0)
     actions = entry.handle_refusal(refusal, 0.2)
     (other,) = list_reserved(actions)
     assert other.upstream not in (work.upstream, target.upstream)
@@ -308,13 +308,13 @@
                     assert request not in self.concluded, "concluded twice"
                     self.concluded[request] = (self.now, error)
 
-    @rule(repeatable=st.booleans(), streamed=st.booleans())
-    def admit(self, repeatable, streamed):
+    @rule(is_idempotent=st.booleans(), streamed=st.booleans())
+    def admit(self, is_idempotent, streamed):
         self.count += 1
         request = build_request(
             f"r{self.count}",
             deadline=self.now + 10.0,
-            repeatable=repeatable,
+            is_idempotent=is_idempotent,
             is_streamed=streamed,
         )
         self.requests[request.request] = request
@@ -381,7 +381,7 @@
             if name not in self.concluded:
                 assert self.now <= request.deadline
             runs = len(self.executed.get(name, []))
-            assert request.repeatable or runs <= 1
+            assert request.is_idempotent or runs <= 1
             at, error = self.concluded.get(name, (None, None))
             if error is not None and error.ran is Ran.NO:
                 assert runs == 0, "reported as not run, but it ran"
@@ -402,7 +402,7 @@
     for incarnation in range(1, 4):
         announcement = build_announcement("engine-0", incarnation=incarnation)
         entry.catalog.take_announcement(announcement, float(incarnation))
-        request = build_request(f"r{incarnation}", repeatable=False, content="cause")
+        request = build_request(f"r{incarnation}", is_idempotent=False, content="cause")
         work, _ = start_request(entry, request, float(incarnation))
         entry.handle_claim(request.request, None, float(incarnation))
         entry.handle_result(work.attempt, Interrupted("lost"), float(incarnation))
@@ -414,7 +414,7 @@
 def test_failure_reported_by_an_engine_is_no_crash():
     entry = build_entry(6)
     for number in range(4):
-        request = build_request(f"r{number}", repeatable=False, content="cause")
+        request = build_request(f"r{number}", is_idempotent=False, content="cause")
         work, _ = start_request(entry, request)
         entry.handle_claim(request.request, None, 0.0)
         failed = Interrupted("it answered 500", may_have_crashed=False)
--- a/tests/unit/test_owner.py
+++ b/tests/unit/test_owner.py
@@ -145,20 +145,20 @@
     owner = build_owner()
     send_reserve(owner, "r1", memory_tokens=9_000, prefill_tokens=8_000)
     send_reserve(owner, "r2", memory_tokens=9_000, prefill_tokens=8_000)
-    leaving = build_announcement(state=UpstreamState.LEAVING)
+    leaving = build_announcement(state=UpstreamState.DRAINING)
     refused = list_refused(owner.apply_announcement(leaving, 1.0))
-    assert refused == {"r2": RefusalReason.LEAVING}
-    assert list_refused(send_reserve(owner, "r3")) == {"r3": RefusalReason.LEAVING}
+    assert refused == {"r2": RefusalReason.DRAINING}
+    assert list_refused(send_reserve(owner, "r3")) == {"r3": RefusalReason.DRAINING}
     assert owner.ledger.has_reservation("r1")
 
 
 def test_wait_that_cannot_end_in_time_is_refused_when_that_is_known():
     owner = build_owner()
     send_reserve(owner, "r1", prefill_tokens=9_000, memory_tokens=9_500)
-    send_reserve(owner, "r2", prefill_tokens=9_000, memory_tokens=9_500, patience=5.0)
+    send_reserve(owner, "r2", prefill_tokens=9_000, memory_tokens=9_500, timeout_s=5.0)
     refused = list_refused(
         send_reserve(
-            owner, "r3", prefill_tokens=9_000, memory_tokens=9_500, patience=0.5
+            owner, "r3", prefill_tokens=9_000, memory_tokens=9_500, timeout_s=0.5
         )
     )
     assert refused == {"r3": RefusalReason.TOO_LATE}
@@ -221,7 +221,7 @@
                 f"{customer}{number}",
                 now=now,
                 customer=customer,
-                patience=1e9,
+                timeout_s=1e9,
                 prefill_tokens=2_000,
                 memory_tokens=2_100,
             )
--- a/tests/unit/test_send_budget.py
+++ b/tests/unit/test_send_budget.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.core.send_budget import (
     BURST_S,
     MIN_RATE_PER_S,
@@ -13,7 +13,7 @@
     UncoordinatedShare,
 )
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED, HeardLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit
 
 UPSTREAM = UpstreamId("i-1")
 OTHER = UpstreamId("i-2")
@@ -23,8 +23,8 @@
 
 
 def build_budget(rate, share):
-    limits = RequestLimits()
-    limits.apply(HeardLimit(UPSTREAM, rate, 0))
+    limits = RateLimits()
+    limits.apply(ObservedLimit(UPSTREAM, rate, 0))
     return limits, SendBudget(limits, share)
 
 
@@ -96,11 +96,11 @@
     budget.refresh(0.0)
     while take_permit(budget, 10.0) is not None:
         pass
-    limits.apply(HeardLimit(UPSTREAM, 0.5, 1))
+    limits.apply(ObservedLimit(UPSTREAM, 0.5, 1))
     assert budget.compute_wait(UPSTREAM, 10.0) == pytest.approx(2.0)
-    limits.apply(HeardLimit(UPSTREAM, 10.0, 2))
+    limits.apply(ObservedLimit(UPSTREAM, 10.0, 2))
     assert budget.compute_wait(UPSTREAM, 10.0) <= 0.2
-    limits.apply(HeardLimit(UPSTREAM, UNLIMITED, 3))
+    limits.apply(ObservedLimit(UPSTREAM, UNLIMITED, 3))
     assert budget.compute_wait(UPSTREAM, 10.0) == 0.0
 
 
@@ -123,7 +123,7 @@
 
 def test_first_free_permit_is_taken():
     limits, budget = build_budget(1.0, LeaderShare(1.0))
-    limits.apply(HeardLimit(OTHER, 2.0, 0))
+    limits.apply(ObservedLimit(OTHER, 2.0, 0))
     budget.refresh(0.0)
     assert budget.grant([UPSTREAM, OTHER], 0.0, 0.0) == (None, pytest.approx(0.5))
     assert budget.grant([UPSTREAM, OTHER], 0.6, 0.0) == (OTHER, pytest.approx(0.5))
