--- a/src/scalebend/core/control_client.py
+++ b/src/scalebend/core/control_client.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from scalebend.core.control_state import Command, Result, encode_command
-from scalebend.core.messages import ProposalAnswer, Propose
+from scalebend.core.messages import ProposalReply, Propose
 from scalebend.models.ids import InstanceId
 
 RESEND_INTERVAL_S = 0.3
@@ -62,7 +62,7 @@
         return proposal, self._send_due(now)
 
     def handle(
-        self, reply: ProposalAnswer, now: float
+        self, reply: ProposalReply, now: float
     ) -> tuple[list[ProposalOutcome], list[Submission]]:
         """Process a reply; one without a result names the leader to send to instead."""
         pending = self._pending.get(reply.proposal)
--- a/src/scalebend/core/control_member.py
+++ b/src/scalebend/core/control_member.py
@@ -31,12 +31,12 @@
 from scalebend.core.list_history import ListHistory
 from scalebend.core.messages import (
     Fetch,
-    Found,
+    FoundGroup,
     Hello,
     HelloReply,
     Join,
     PeerMessage,
-    ProposalAnswer,
+    ProposalReply,
     Propose,
     RelayReply,
 )
@@ -155,7 +155,7 @@
                 self._try_to_form_group()
             case RelayReply(instances, founder):
                 self._handle_relay_reply(sender, instances, founder)
-            case Found(members):
+            case FoundGroup(members):
                 self.replica.form_group(members)
             case Join(member):
                 self._add_learner(member, now)
@@ -256,7 +256,7 @@
         # The sender is a founder that missed the formation. Its disk is the one in
         # the first member list, so its log may start with the same first entry.
         if self.replica.log.find_last_members_index() == 1:
-            self._send(sender, Found(members))
+            self._send(sender, FoundGroup(members))
 
     def _list_control_instances(self) -> list[InstanceId]:
         members = self.replica.members
@@ -299,7 +299,7 @@
         self.replica.form_group(members)
         logger.info("control group founded", voters=sorted(m.instance for m in voters))
         for member in sorted(voters - {self.me}):
-            self._send(member.instance, Found(members))
+            self._send(member.instance, FoundGroup(members))
 
     def _handle_relay_reply(
         self, relay: InstanceId, instances: list[InstanceId], founder: InstanceId | None
@@ -373,7 +373,7 @@
     ) -> None:
         index = self.replica.propose(message.command, at, now)
         if index is None:
-            reply = ProposalAnswer(message.proposal, None, self.leader)
+            reply = ProposalReply(message.proposal, None, self.leader)
             self._send(sender, reply)
             return
         self._pending[index] = _PendingProposal(
@@ -401,7 +401,7 @@
     def _reply_to_proposer(
         self, pending: _PendingProposal, result: Result | None
     ) -> None:
-        reply = ProposalAnswer(pending.proposal, result, self.leader)
+        reply = ProposalReply(pending.proposal, result, self.leader)
         self._send(pending.instance, reply)
 
     def _publish(self, sender: InstanceId, message: Fetch) -> None:
--- a/tests/unit/gateway/test_group_changes.py
+++ b/tests/unit/gateway/test_group_changes.py
@@ -44,7 +44,9 @@
     group = ControlGroup(NAMES, seeds=SEEDS, voters_wanted=5)
     for _ in range(30):
         group.advance(0.1)
-        group.in_flight = [f for f in group.in_flight if type(f[2]).__name__ != "Found"]
+        group.in_flight = [
+            f for f in group.in_flight if type(f[2]).__name__ != "FoundGroup"
+        ]
         group.deliver_all()
     assert group.members["a"].replica.members is not None
     group.settle()
