--- a/src/scalebend/storage/hint_file.py
+++ b/src/scalebend/storage/hint_file.py
@@ -1,4 +1,4 @@
-"""Files of hints: lists that speed up a restart but may be lost.
+"""Files of hints: lists that a process keeps over a restart, but may lose.
 
 A missing file is ignored; read and write errors and damaged content are only logged.
 """
