--- a/src/scalebend/edges/gateway/control_calls.py
+++ b/src/scalebend/edges/gateway/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators and upstreams at a control instance, over HTTP."""
+"""HTTP interface of a control instance for operators and upstreams."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 import structlog
 from aiohttp import web
 
-from scalebend.edges.gateway.control_runtime import ControlRuntime, build_no_quorum
-from scalebend.edges.gateway.http_listener import answer_metrics, listen
+from scalebend.edges.gateway.control_runtime import (
+    ControlRuntime,
+    build_no_quorum_error,
+)
+from scalebend.edges.gateway.http_listener import listen, serve_metrics
 from scalebend.edges.gateway.inspection import Inspector
 from scalebend.edges.gateway.redirects import redirect_to
 from scalebend.edges.gateway.sockets import Listeners
@@ -22,37 +25,37 @@
     ACKNOWLEDGEMENT,
     CONFIGURATION_PATH,
     REGISTRATION_PREFIX,
-    decode_departure,
+    decode_deregistration,
     decode_registration,
 )
 
 logger = structlog.get_logger(__name__)
 
-INSPECTION_PERIOD = 2.5
-"""Seconds between two reports of each engine. Fronts ask at once when a first token is
-late; this finds slow ones before, at a price that shows where probes are dear."""
+INSPECTION_INTERVAL_S = 2.5
+"""Seconds between two inspections of an engine. Fronts request a report at once when a
+first token is late; this finds slow engines earlier, at the cost of more requests."""
 
-LONGEST_LOGGED = 200
-"""Characters of a refused call's path and fault that are logged: anybody may call."""
+MAX_LOGGED_CHARS = 200
+"""Maximum length of a logged path and error detail; callers are not authenticated."""
 
 
 class ControlHandler:
-    """Calls of operators and upstreams."""
+    """Handles requests of operators and upstreams."""
 
     def __init__(self, runtime: ControlRuntime) -> None:
         self._runtime = runtime
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+        """Respond to one request; a refused one gets an error response."""
         try:
             return await self._dispatch(request)
         except ScalebendError as error:
             logger.info(
                 "call refused",
                 method=request.method,
-                path=request.path[:LONGEST_LOGGED],
+                path=request.path[:MAX_LOGGED_CHARS],
                 kind=error.kind.value,
-                detail=error.detail[:LONGEST_LOGGED],
+                detail=error.detail[:MAX_LOGGED_CHARS],
             )
             return build_response(error)
 
@@ -62,13 +65,13 @@
             case "PUT" if path.startswith(REGISTRATION_PREFIX):
                 return await self._register(request)
             case "DELETE" if path.startswith(REGISTRATION_PREFIX):
-                return await self._remove(request)
+                return await self._deregister(request)
             case "PUT" if path == CONFIGURATION_PATH:
-                return await self._put(request)
+                return await self._put_configuration(request)
             case "GET" if path == CONFIGURATION_PATH:
-                return await self._get(request)
+                return await self._get_configuration(request)
             case "GET" if path == "/metrics":
-                return await answer_metrics(self._runtime.metrics, request)
+                return await serve_metrics(self._runtime.metrics, request)
         raise RequestError(f"{request.method} {path}", kind=ErrorKind.NOT_FOUND)
 
     async def _register(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -78,52 +81,55 @@
         runtime.execute(runtime.instance.register(endpoint, runtime.now()))
         return self._acknowledge_registration()
 
-    async def _remove(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _deregister(self, request: web.BaseRequest) -> web.StreamResponse:
         runtime = self._runtime
         name = request.path.removeprefix(REGISTRATION_PREFIX)
-        departure = decode_departure(name, await request.read())
+        deregistration = decode_deregistration(name, await request.read())
         runtime.execute(
-            runtime.instance.deregister(departure.name, runtime.now(), departure.born)
+            runtime.instance.deregister(
+                deregistration.name, runtime.now(), deregistration.born
+            )
         )
         return self._acknowledge_registration()
 
     def _acknowledge_registration(self) -> web.StreamResponse:
-        # It is remembered in any case; but not every front may hear of it from here.
+        # The change is stored in either case, but without a quorum it may not reach
+        # every front from here.
         if not self._runtime.instance.may_acknowledge():
-            raise build_no_quorum()
+            raise build_no_quorum_error()
         return web.Response(body=ACKNOWLEDGEMENT, content_type="application/json")
 
-    async def _put(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _put_configuration(self, request: web.BaseRequest) -> web.StreamResponse:
         if (redirect := self._redirect(request)) is not None:
             return redirect
         data = await request.read()
-        held = await self._runtime.put_routing(data)
-        logger.info("routing acknowledged", held=held, size=len(data))
+        version = await self._runtime.put_routing(data)
+        logger.info("routing acknowledged", held=version, size=len(data))
         return web.Response(body=b"{}", content_type="application/json")
 
-    async def _get(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _get_configuration(self, request: web.BaseRequest) -> web.StreamResponse:
         if (redirect := self._redirect(request)) is not None:
             return redirect
         document = await self._runtime.read_document()
         return web.Response(body=document, content_type="application/json")
 
     def _redirect(self, request: web.BaseRequest) -> web.StreamResponse | None:
-        """Where another member leads, the call belongs there."""
+        """Return a redirect to the leader; ``None`` if this member leads."""
         runtime = self._runtime
         if runtime.instance.is_leader:
             return None
         leader = runtime.instance.member.leader
         if leader is None:
-            raise build_no_quorum()
+            raise build_no_quorum_error()
         return redirect_to(leader, runtime.settings, request)
 
 
 async def _inspect_engines(runtime: ControlRuntime) -> None:
-    """While this member leads, ask the replicas how slow they are."""
+    """Request reports of all engines at intervals while this member leads."""
     async with open_upstream_sessions() as sessions:
         inspector = Inspector(sessions.pooled)
         while True:
-            await asyncio.sleep(INSPECTION_PERIOD)
+            await asyncio.sleep(INSPECTION_INTERVAL_S)
             if not runtime.instance.is_leader:
                 continue
             engines = runtime.instance.list_engines()
@@ -135,7 +141,7 @@
 async def serve_calls(
     settings: GatewaySettings, runtime: ControlRuntime
 ) -> AsyncIterator[None]:
-    """Answer calls, and look after the engines, until the block ends."""
+    """Serve requests and inspect the engines until the block ends."""
     assert settings.control_address is not None
     sock = Listeners().take(settings.control_address)
     task = asyncio.create_task(_inspect_engines(runtime))
--- a/src/scalebend/platform/__init__.py
+++ b/src/scalebend/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Adapter to the users' platform: names, formats and calls, without any decision.
+"""Adapter to the users' platform: names and formats on the wire, without decisions.
 
-Every other package uses the types of ``scalebend.models``; the names on the wire
-stand in this folder alone.
+Every other package uses the types of ``scalebend.models``; only this package knows the
+names on the wire.
 """
--- a/src/scalebend/platform/early_settings.py
+++ b/src/scalebend/platform/early_settings.py
@@ -1,4 +1,4 @@
-"""The one setting that is needed before a process has loaded anything else."""
+"""Reads the one setting that is needed before a process loads its libraries."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def read_callers_address(path: str) -> str | None:
-    """Where callers connect, ``IP:port``; ``None`` if the file does not tell.
+    """Return where callers connect, ``IP:port``; ``None`` if missing or invalid.
 
-    A file with a fault is reported by whoever reads all of it, a moment later.
+    Errors in the file are reported when all of it is read, later in the start.
     """
     try:
         with open(path, "rb") as file:
--- a/src/scalebend/platform/headers.py
+++ b/src/scalebend/platform/headers.py
@@ -26,33 +26,33 @@
 HELPERS = "X-Helpers"
 URGENCY = "X-Request-Priority"
 SEAL = "X-Server-Seal"
-"""A replica's signature of its whole answer; callers count no success without it."""
+"""A replica's signature of its whole response; callers require it for a success."""
 
-_NOT_RUN = "X-Not-Executed"
+_NOT_EXECUTED = "X-Not-Executed"
 _LOAD = "X-Server-Load"
-_FAULTY = "At-Server"
-_REQUEST_LIMIT = "Server-Limit"
-"""Requests a second, from all fronts together, although the name says neither."""
+_FAULTY_ADDRESS = "At-Server"
+_RATE_LIMIT = "Server-Limit"
+"""Rate limit in requests per second over all fronts together."""
 
 _DRAINING = "Server-Leaving"
 
 _RETRY_AFTER = "Retry-After"
-"""Seconds, fractions included, in both directions; no dates."""
+"""Seconds, may be fractional, in both directions; dates are not supported."""
 
 _TOKENS = "X-Token-Counts"
 _LENGTH_HINT = "X-Length-Hint"
 
-MOST_DIGITS = 6
-"""Digits of a count that a replica can mean: a million requests are at none of them,
-and one that claims them would never be chosen again."""
+MAX_COUNT_DIGITS = 6
+"""Maximum digits of a count in a load header; a replica with a larger, bogus count
+would never be chosen again."""
 
-_WORD_PREFIXES = ("server-", "x-server-")
-"""How the names of headers begin by which replicas say something about themselves."""
+_UPSTREAM_HEADER_PREFIXES = ("server-", "x-server-")
+"""Prefixes of headers in which replicas describe themselves."""
 
-_KNOWN_WORDS = frozenset(
-    name.lower() for name in (SEAL, _LOAD, _REQUEST_LIMIT, _DRAINING, "Server-Timing")
+_KNOWN_UPSTREAM_HEADERS = frozenset(
+    name.lower() for name in (SEAL, _LOAD, _RATE_LIMIT, _DRAINING, "Server-Timing")
 )
-"""Those that are read here, and one of HTTP's own."""
+"""Headers with these prefixes that are read here, and a standard one of HTTP."""
 
 _CONNECTION_HEADERS = frozenset(
     name.lower()
@@ -70,9 +70,9 @@
         "Expect",
     )
 )
-"""Headers that concern one connection; ``Content-Length`` is set anew."""
+"""Hop-by-hop headers, not forwarded; ``Content-Length`` is set anew."""
 
-_OWN_HEADERS = frozenset(
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         "Authorization",
@@ -85,11 +85,11 @@
         "X-Expect-Version",
     )
 )
-"""Headers that callers cannot set at an upstream."""
+"""Headers of callers that are not forwarded to upstreams."""
 
 
 def read_caller_headers(headers: Mapping[str, str]) -> CallerHeaders:
-    """Decode the headers of a request; malformed numbers count as not given."""
+    """Decode the headers of a request; malformed numbers count as absent."""
     wait = _read_number(headers.get(DEADLINE))
     scheme, _, key = headers.get("Authorization", "").partition(" ")
     return CallerHeaders(
@@ -102,14 +102,14 @@
 
 
 def _read_prompt(headers: Mapping[str, str]) -> PromptSize | None:
-    prompt, _, most = headers.get(_TOKENS, "").partition(",")
+    prompt, _, max_output = headers.get(_TOKENS, "").partition(",")
     prompt_tokens = _read_integer(prompt)
-    output_most = _read_integer(most)
-    if prompt_tokens is None or output_most is None:
+    max_output_tokens = _read_integer(max_output)
+    if prompt_tokens is None or max_output_tokens is None:
         return None
     hint = _read_integer(headers.get(_LENGTH_HINT))
-    expected = output_most if hint is None else min(hint, output_most)
-    return PromptSize(prompt_tokens, output_most, expected)
+    expected = max_output_tokens if hint is None else min(hint, max_output_tokens)
+    return PromptSize(prompt_tokens, max_output_tokens, expected)
 
 
 def build_upstream_headers(
@@ -122,17 +122,21 @@
     helpers: list[str],
     urgency: int | None,
 ) -> CIMultiDict[str]:
-    """Return the headers for an upstream; ``remaining`` is in seconds.
+    """Return the headers for an upstream; ``remaining`` is the deadline in seconds.
 
-    ``helpers`` are ``IP:port`` or ``IP:port/ticket``; ``urgency`` is 0 to 9, the
-    lowest first.
+    ``helpers`` are ``IP:port`` or ``IP:port/reservation`` of prefill helpers;
+    ``urgency`` is 0 to 9, the lowest first.
     """
     headers: CIMultiDict[str] = CIMultiDict()
-    named = received.get("Connection", "").lower()
-    dropped = {name.strip() for name in named.split(",") if name.strip()}
+    connection = received.get("Connection", "").lower()
+    dropped = {name.strip() for name in connection.split(",") if name.strip()}
     for name, value in received.items():
         lower = name.lower()
-        if lower in _CONNECTION_HEADERS or lower in _OWN_HEADERS or lower in dropped:
+        if (
+            lower in _CONNECTION_HEADERS
+            or lower in _RESERVED_HEADERS
+            or lower in dropped
+        ):
             continue
         headers.add(name, value)
     headers[DEADLINE] = str(max(1, int(remaining * 1000.0)))
@@ -151,7 +155,7 @@
 def build_caller_headers(
     call: CallerHeaders, host: str, resume_after: int | None = None
 ) -> CIMultiDict[str]:
-    """Return the headers with which a caller sends ``call``; for stand-ins."""
+    """Return the headers of a caller's request ``call``; for test stand-ins."""
     headers: CIMultiDict[str] = CIMultiDict({"Host": host, REQUEST_ID: call.request})
     if call.wait is not None:
         headers[DEADLINE] = str(int(call.wait * 1000.0))
@@ -173,14 +177,14 @@
     backoff: float | None = None,
     is_draining: bool = False,
 ) -> CIMultiDict[str]:
-    """Return the headers with which a replica answers ``request``; for stand-ins."""
+    """Return the headers of a replica's response to ``request``; for stand-ins."""
     headers: CIMultiDict[str] = CIMultiDict({REQUEST_ID: request})
     if seal is not None:
         headers[SEAL] = seal
     if has_not_run:
-        headers[_NOT_RUN] = "true"
+        headers[_NOT_EXECUTED] = "true"
     if request_limit is not None:
-        headers[_REQUEST_LIMIT] = f"{request_limit:g}"
+        headers[_RATE_LIMIT] = f"{request_limit:g}"
     if backoff is not None:
         headers[_RETRY_AFTER] = f"{backoff:g}"
     if is_draining:
@@ -189,26 +193,27 @@
 
 
 def read_answer_headers(status: int, headers: Mapping[str, str]) -> AnswerHeaders:
-    """Decode the headers of an upstream's answer."""
-    # 421 says that another upstream was meant: this one did not run the request.
-    is_other = status == 421
+    """Decode the headers of an upstream's response."""
+    # 421 (Misdirected Request): the address now belongs to another upstream, which did
+    # not run the request.
+    is_misdirected = status == 421
     backoff = headers.get(_RETRY_AFTER) if status == 503 else None
     seconds = read_decimal(backoff)
     return AnswerHeaders(
         request=headers.get(REQUEST_ID),
-        has_not_run=is_other or _NOT_RUN in headers,
+        has_not_run=is_misdirected or _NOT_EXECUTED in headers,
         load=_read_load(headers.get(_LOAD)),
-        faulty_address=headers.get(_FAULTY),
-        request_limit=None if is_other else _read_limit(headers),
+        faulty_address=headers.get(_FAULTY_ADDRESS),
+        request_limit=None if is_misdirected else _read_rate_limit(headers),
         backoff=seconds,
         has_unreadable_backoff=backoff is not None and seconds is None,
-        is_draining=not is_other and headers.get(_DRAINING) == "1",
-        unknown_words=tuple(filter(_is_unknown_word, headers)),
+        is_draining=not is_misdirected and headers.get(_DRAINING) == "1",
+        unknown_words=tuple(filter(_is_unknown_header, headers)),
     )
 
 
 def copy_answer_headers(received: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """Return an upstream's headers without those of its connection."""
+    """Return an upstream's response headers without the hop-by-hop ones."""
     copied: CIMultiDict[str] = CIMultiDict()
     for name, value in received.items():
         if name.lower() not in _CONNECTION_HEADERS:
@@ -217,7 +222,7 @@
 
 
 def format_retry_after(seconds: float) -> str:
-    """Callers of the platform read fractions of a second, too."""
+    """Return the value of ``Retry-After``; the platform's callers accept fractions."""
     return f"{seconds:.3f}"
 
 
@@ -231,18 +236,21 @@
     return LoadReading(running, waiting, slots) if slots else None
 
 
-def _read_limit(headers: Mapping[str, str]) -> float | None:
-    text = headers.get(_REQUEST_LIMIT)
+def _read_rate_limit(headers: Mapping[str, str]) -> float | None:
+    text = headers.get(_RATE_LIMIT)
     return UNLIMITED if text is None else read_decimal(text)
 
 
-def _is_unknown_word(name: str) -> bool:
+def _is_unknown_header(name: str) -> bool:
     lower = name.lower()
-    return lower.startswith(_WORD_PREFIXES) and lower not in _KNOWN_WORDS
+    return (
+        lower.startswith(_UPSTREAM_HEADER_PREFIXES)
+        and lower not in _KNOWN_UPSTREAM_HEADERS
+    )
 
 
 def _is_count(text: str) -> bool:
-    return text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_COUNT_DIGITS
 
 
 def _read_number(text: str | None) -> float | None:
--- a/src/scalebend/platform/orders.py
+++ b/src/scalebend/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to replicas that set memory aside and give it back."""
+"""Orders to replicas that reserve KV cache memory and release it."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 
 
 class MemoryOrder(msgspec.Struct, frozen=True):
-    """An order on the memory that ``ticket`` names."""
+    """An order that creates, renews or releases a reservation of KV cache memory."""
 
-    ticket: str
+    reservation: str
     tokens: int
-    """0 when the memory is given back."""
+    """Size of the reservation; 0 releases it."""
 
-    hold: float
-    """Seconds for which it is set aside."""
+    lifetime_s: float
+    """Seconds until the reservation expires."""
 
 
-def encode_reservation(ticket: str, tokens: int, hold: float) -> bytes:
-    """Body of the order that sets memory aside for ``hold`` seconds, or refuses."""
-    hold_ms = int(hold * 1000.0)
-    return msgspec.json.encode(_Reserve("reserve", ticket, tokens, hold_ms, False))
+def encode_reservation(reservation: str, tokens: int, lifetime_s: float) -> bytes:
+    """Return the body of an order to reserve memory, or be refused without waiting."""
+    hold_ms = int(lifetime_s * 1000.0)
+    return msgspec.json.encode(_Reserve("reserve", reservation, tokens, hold_ms, False))
 
 
-def encode_release(ticket: str) -> bytes:
-    """Body of the order that gives memory back."""
-    return msgspec.json.encode(_Release("release", ticket))
+def encode_release(reservation: str) -> bytes:
+    """Return the body of an order to release a reservation."""
+    return msgspec.json.encode(_Release("release", reservation))
 
 
-def format_helper(address: str, ticket: str | None) -> str:
-    """Return how a replica that helps to read a prompt is named in a request."""
-    return f"{address}/{ticket}" if ticket is not None else address
+def format_helper(address: str, reservation: str | None) -> str:
+    """Return the value that names a prefill helper in a request header."""
+    return f"{address}/{reservation}" if reservation is not None else address
 
 
 def decode_order(data: bytes) -> MemoryOrder:
-    """Return the order in ``data``; raise ``ValueError`` when it is none."""
+    """Return the order in ``data``; raise ``ValueError`` if it is invalid."""
     order = msgspec.json.decode(data, type=_Order)
     return MemoryOrder(order.id, order.tokens, order.hold_ms / 1000.0)
--- a/src/scalebend/platform/registrations.py
+++ b/src/scalebend/platform/registrations.py
@@ -1,8 +1,8 @@
-"""What upstreams send to register themselves, and what they are answered.
+"""Registration and deregistration messages of upstreams, and their acknowledgement.
 
-Other programs may write to the same place. A message with a field that is missing, of
-another type or out of its range is refused whole: it must neither add an upstream nor
-change the one whose name it bears.
+Other programs can call the same endpoint. A message with a field that is missing, of
+the wrong type or out of range is rejected as a whole: it must neither add an upstream
+nor change the one that it names.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 CONFIGURATION_PATH = "/config"
 
 ACKNOWLEDGEMENT = b"{}"
-"""Body of the answer to a registration: no other address for the next one."""
+"""Body of the response to a registration; empty: keep using the same address."""
 
 
 class _Registration(msgspec.Struct, rename="pascal", kw_only=True):
@@ -41,20 +41,20 @@
     state: Literal["ready", "draining"]
     seq: Count
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
-    # Unix millisecond of the start; deployments of earlier pages tell none.
+    # Start time in Unix milliseconds; older deployments do not send it.
     born: Count | msgspec.UnsetType = msgspec.field(name="born", default=msgspec.UNSET)
 
 
-class _Departure(msgspec.Struct):
+class _Deregistration(msgspec.Struct):
     born: Count | msgspec.UnsetType = msgspec.UNSET
 
 
 _DECODER = msgspec.json.Decoder(_Registration)
-_DEPARTURE_DECODER = msgspec.json.Decoder(_Departure)
+_DEREGISTRATION_DECODER = msgspec.json.Decoder(_Deregistration)
 
 
 def encode_registration(endpoint: Endpoint) -> bytes:
-    """Body with which the upstream ``endpoint`` registers; for stand-ins."""
+    """Return the body of a registration of ``endpoint``; for test stand-ins."""
     return msgspec.json.encode(
         _Registration(
             service=endpoint.service,
@@ -71,13 +71,13 @@
 
 
 def decode_registration(upstream: str, data: bytes) -> Endpoint:
-    """Return the endpoint that registers; raise when the message is not valid."""
+    """Return the endpoint to register; raise :class:`DocumentError` if invalid."""
     name = _read_name(upstream)
     try:
         read = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise _build_error("$", str(error)) from error
-    if not _is_address(read.address):
+    if not _is_valid_address(read.address):
         raise _build_error("$.Address", "an IP address and a port")
     born = None if read.born is msgspec.UNSET else read.born
     return Endpoint(
@@ -92,16 +92,16 @@
     )
 
 
-def decode_departure(upstream: str, data: bytes) -> Departure:
-    """Return who says that it leaves; raise when the message is not valid.
+def decode_deregistration(upstream: str, data: bytes) -> Departure:
+    """Return the upstream to deregister; raise :class:`DocumentError` if invalid.
 
-    The usual message has no body. Then it speaks of the newest incarnation.
+    The body is usually empty, which means the latest incarnation.
     """
     name = _read_name(upstream)
     if not data:
         return Departure(name, None)
     try:
-        read = _DEPARTURE_DECODER.decode(data)
+        read = _DEREGISTRATION_DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise _build_error("$", str(error)) from error
     return Departure(name, None if read.born is msgspec.UNSET else read.born)
@@ -113,13 +113,13 @@
     return UpstreamName(text)
 
 
-def _is_address(text: str) -> bool:
+def _is_valid_address(text: str) -> bool:
     try:
         address = parse_address(text)
     except ValueError:
         return False
     host, _, port = text.rpartition(":")
-    # Python reads more as a number, and more brackets, than an address may hold.
+    # Python's parsers accept numbers and brackets that are invalid in an address.
     is_plain = host in (address.host, f"[{address.host}]")
     return is_plain and port.isascii() and port.isdecimal() and address.port > 0
 
--- a/src/scalebend/platform/reports.py
+++ b/src/scalebend/platform/reports.py
@@ -1,4 +1,4 @@
-"""What a replica tells of itself when it is asked."""
+"""Reports that replicas return about their load and speed."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class _Report(msgspec.Struct, kw_only=True):
-    # How many times slower than usual the replica works.
+    # Slowdown of the replica: 1.0 is its usual speed, 2.0 takes twice as long.
     pace: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 1.0
     waiting: Count = msgspec.field(name="Waiting")
     running: Count = msgspec.field(name="Running")
-    # Unix millisecond of its start.
+    # Start time of the replica in Unix milliseconds.
     born: Count | msgspec.UnsetType = msgspec.UNSET
 
 
@@ -25,7 +25,7 @@
 
 
 def decode_report(data: bytes) -> ReplicaReport | None:
-    """Return the report in ``data``; ``None`` when it is none."""
+    """Return the report in ``data``; ``None`` if it is invalid."""
     try:
         read = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -35,7 +35,7 @@
 
 
 def encode_report(report: ReplicaReport) -> bytes:
-    """Body with which a replica answers; for stand-ins."""
+    """Return the body of a replica's report; for test stand-ins."""
     born = msgspec.UNSET if report.born is None else report.born
     return msgspec.json.encode(
         _Report(
--- a/src/scalebend/platform/routing.py
+++ b/src/scalebend/platform/routing.py
@@ -1,4 +1,4 @@
-"""The operator's configuration document, decoded into the project's own types."""
+"""Converts the operator's routing document to and from the project's types."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     timeout_ms: float
     target_latency_ms: float = 1000.0
     priority: int = 0
-    # Either one service, or several with weights.
+    # Either one service or a weighted split over several.
     service: str | None = None
     traffic_split: list[_Split] | None = None
     max_attempts: int = 1
@@ -83,7 +83,7 @@
 
 
 def decode_routing(data: bytes) -> Routing:
-    """Return the document in ``data``; raise when it cannot be read whole."""
+    """Return the routing in ``data``; raise :class:`DocumentError` if invalid."""
     try:
         document = _DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -92,8 +92,8 @@
     limits = document.limits
     return Routing(
         RoutingVersion(document.version),
-        tuple(_read_route(route) for route in document.routes),
-        tuple(_read_service(service) for service in document.services),
+        tuple(_convert_route(route) for route in document.routes),
+        tuple(_convert_service(service) for service in document.services),
         ListenerLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -109,12 +109,12 @@
 
 
 def encode_routing(routing: Routing) -> bytes:
-    """Return the document as an operator sends it; for stand-ins."""
+    """Return the document as an operator sends it; for test stand-ins."""
     limits = routing.limits
     document = _Document(
         version=routing.version,
-        routes=[_write_route(route) for route in routing.routes],
-        services=[_write_service(service) for service in routing.services],
+        routes=[_encode_route(route) for route in routing.routes],
+        services=[_encode_service(service) for service in routing.services],
         limits=_Limits(
             limits.header_bytes,
             limits.body_bytes,
@@ -129,7 +129,7 @@
     return msgspec.json.encode(document)
 
 
-def _write_route(route: Route) -> _Route:
+def _encode_route(route: Route) -> _Route:
     gap = route.event_gap
     return _Route(
         name=route.name,
@@ -147,7 +147,7 @@
     )
 
 
-def _write_service(service: RoutedService) -> _Service:
+def _encode_service(service: RoutedService) -> _Service:
     profile = service.engine
     engine = None
     if profile is not None:
@@ -164,7 +164,7 @@
     return _Service(service.name, service.health_path, service.connections_most, engine)
 
 
-def _read_route(route: _Route) -> Route:
+def _convert_route(route: _Route) -> Route:
     split = route.traffic_split
     if split is not None:
         services = [WeightedService(ServiceName(s.service), s.weight) for s in split]
@@ -187,7 +187,7 @@
     )
 
 
-def _read_service(service: _Service) -> RoutedService:
+def _convert_service(service: _Service) -> RoutedService:
     engine = service.engine
     profile = None
     if engine is not None:
--- a/src/scalebend/platform/settings.py
+++ b/src/scalebend/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
     ip: str
     zone: str
     listen: _Listen
-    # The first port is for messages between processes, the last for metrics.
+    # The first port is for links between processes, the second for metrics.
     port_range: tuple[int, int]
-    # Control addresses; the port for messages is the same on every machine.
+    # Control addresses; the port for links is the same on every instance.
     seeds: list[str]
     bootstrap: bool = False
     tolerate: _Tolerate = msgspec.field(default_factory=_Tolerate)
@@ -56,13 +56,13 @@
 
 
 def encode_gateway_settings(settings: GatewaySettings) -> bytes:
-    """Return the file that the platform would write; for stand-ins.
+    """Return the file that the platform would write; for test stand-ins.
 
-    The link port is the same on every machine, as is the port of control calls.
+    All instances use the same link port and the same port for control calls.
     """
     link = parse_address(settings.link_address)
     control = settings.control_address
-    # Seeds are named by their addresses for calls, on the platform.
+    # The platform names seeds by their control addresses, not link addresses.
     control_port = parse_address(control or settings.seeds[0]).port
     bounds = settings.bounds
     written = _Settings(
@@ -91,7 +91,7 @@
 
 
 def read_gateway_settings(path: Path) -> GatewaySettings:
-    """Return the settings in ``path``; raise :class:`DocumentError` on a fault."""
+    """Return the settings in ``path``; raise :class:`DocumentError` if invalid."""
     try:
         read = msgspec.json.decode(path.read_bytes(), type=_Settings)
     except (OSError, msgspec.MsgspecError) as error:
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -290,21 +290,21 @@
         for name, ticket in list(self._tickets.items()):
             if ticket.until <= now:
                 del self._tickets[name]
-        known = self._tickets.get(order.ticket)
+        known = self._tickets.get(order.reservation)
         if order.tokens == 0:
             if known is not None:
                 known.until = now
-                del self._tickets[order.ticket]
+                del self._tickets[order.reservation]
             return web.json_response({})
         used = sum(self._memory[name] for name in self._tickets)
         if known is None and used + order.tokens > ENGINE.memory_tokens:
             return web.json_response({}, status=409)
         if known is None:
-            known = Ticket(self._id, order.ticket, now, now, now)
-            self._tickets[order.ticket] = known
-            self._memory[order.ticket] = order.tokens
+            known = Ticket(self._id, order.reservation, now, now, now)
+            self._tickets[order.reservation] = known
+            self._memory[order.reservation] = order.tokens
             self._fleet.seen.tickets.append(known)
-        known.until = now + order.hold
+        known.until = now + order.lifetime_s
         return web.json_response({})
 
     async def limit_requests(self, rate: float, lasts: float) -> None:
--- a/tests/unit/gateway/test_foreign_messages.py
+++ b/tests/unit/gateway/test_foreign_messages.py
@@ -8,7 +8,7 @@
 from scalebend.exceptions import DocumentError, ErrorKind, RequestError
 from scalebend.models.endpoints import LONGEST_NAME, MOST_SLOTS, Departure
 from scalebend.platform.headers import read_answer_headers
-from scalebend.platform.registrations import decode_departure, decode_registration
+from scalebend.platform.registrations import decode_deregistration, decode_registration
 from scalebend.platform.reports import decode_report
 from tests.lib.gateway_builders import SERVICE, build_routing
 from tests.unit.gateway.test_control_instance import SingleMemberGroup
@@ -105,16 +105,16 @@
     with pytest.raises(DocumentError):
         decode_registration(name, encode())
     with pytest.raises(DocumentError):
-        decode_departure(name, b"")
+        decode_deregistration(name, b"")
 
 
 def test_departure_names_an_incarnation_or_none():
-    assert decode_departure("i-1", b"") == Departure("i-1", None)
-    assert decode_departure("i-1", b"{}") == Departure("i-1", None)
-    assert decode_departure("i-1", b'{"born": 7}') == Departure("i-1", 7)
+    assert decode_deregistration("i-1", b"") == Departure("i-1", None)
+    assert decode_deregistration("i-1", b"{}") == Departure("i-1", None)
+    assert decode_deregistration("i-1", b'{"born": 7}') == Departure("i-1", 7)
     for body in (b"\xff", b"[", b"[]", b'{"born": "7"}', b'{"born": 7.5}'):
         with pytest.raises(DocumentError):
-            decode_departure("i-1", body)
+            decode_deregistration("i-1", body)
 
 
 @pytest.mark.parametrize(
