--- a/src/scalebend/commands/gateway.py
+++ b/src/scalebend/commands/gateway.py
@@ -67,7 +67,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
     watch = SettingsWatch(path, settings)
-    loop.add_signal_handler(signal.SIGHUP, watch.note_signal)
+    loop.add_signal_handler(signal.SIGHUP, watch.request_reload)
     logger.info("process starts", instance=settings.name, role=settings.role.value)
     match settings.role:
         case GatewayRole.FRONT:
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -112,7 +112,8 @@
         self.lease = KeyLease(
             bounds.key_revocation, is_strict=bounds.is_revocation_strict
         )
-        self.directory = EndpointDirectory(ENDPOINT_TIMEOUT_S, registrations_to_regain_address=1
+        self.directory = EndpointDirectory(
+            ENDPOINT_TIMEOUT_S, registrations_to_regain_address=1
         )
         self.balancer = ServiceBalancer()
         self.crashes = CrashLedger()
--- a/src/scalebend/edges/gateway/control_runtime.py
+++ b/src/scalebend/edges/gateway/control_runtime.py
@@ -1,7 +1,7 @@
 """One running control instance: its log on disk, its links and its timers.
 
-What serves HTTP is not needed here and takes longer to load than the rest: a group that
-starts again after the loss of all elects a leader meanwhile.
+Imports nothing that serves HTTP: those libraries load slowly, and after a restart of
+the whole group the members elect a leader while they load.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from scalebend.core.gateway.routing_store import pack_routing, unpack_document
 from scalebend.core.messages import RelayReply
 from scalebend.edges.control_pump import pump_control
-from scalebend.edges.gateway.hint_store import HintStore
-from scalebend.edges.gateway.links import HEARTBEAT, Dialer, LinkServer
+from scalebend.edges.gateway.links import HEARTBEAT_INTERVAL_S, Dialer, LinkServer
+from scalebend.edges.gateway.list_writer import ListWriter
 from scalebend.edges.gateway.metrics import GatewayMetrics
 from scalebend.exceptions import ErrorKind, RefusedError
 from scalebend.models.gateway_settings import GatewayRole, GatewaySettings
@@ -46,12 +46,13 @@
 
 logger = structlog.get_logger(__name__)
 
-TICK = 0.02
-"""Seconds between two calls of the core's timers, a fifth of the log's heartbeat."""
+TICK_INTERVAL_S = 0.02
+"""Seconds between two calls of the core's timers, a fifth of the log's heartbeat
+interval."""
 
-QUORUM_TIMEOUT = 0.8
-"""Seconds for a decision of the control group; callers try another instance after
-one second without an answer."""
+QUORUM_TIMEOUT_S = 0.8
+"""Time limit for a decision of the control group; shorter than the one second after
+which clients try another instance."""
 
 
 class ControlRuntime:
@@ -69,15 +70,15 @@
         self.metrics = metrics
         self._journal = journal
         self._loop = asyncio.get_running_loop()
-        me = settings.instance
-        peers = [InstanceId(seed) for seed in settings.seeds if seed != me]
+        own_id = settings.instance
+        peers = [InstanceId(seed) for seed in settings.seeds if seed != own_id]
         member = ControlMember(
-            me,
+            own_id,
             peers,
             recovered,
             now=self.now(),
             seed=time.time_ns(),
-            may_found=settings.is_first_start and me in settings.seeds,
+            may_found=settings.is_first_start and own_id in settings.seeds,
             may_be_sole_founder=settings.is_first_start,
             voters_wanted=2 * settings.tolerated_losses + 1,
         )
@@ -86,46 +87,52 @@
         )
         self.instance.upstreams.restore(read_upstreams(folder), self.now())
         self.instance.crashes.restore(read_crashes(folder), self.now())
-        self._upstream_store = HintStore(
+        self._upstream_writer = ListWriter(
             self.instance.directory.list_updates, partial(write_upstreams, folder)
         )
-        self._crash_store = HintStore(
+        self._crash_writer = ListWriter(
             self.instance.crashes.ledger.list_records, partial(write_crashes, folder)
         )
-        introduction = Introduce(me, time.time_ns(), settings.role)
+        introduction = Introduce(own_id, time.time_ns(), settings.role)
         self.dialer = Dialer(
-            introduction, self._hear_relay, self._introduce, lambda _: None, metrics
+            introduction,
+            self._receive_from_relay,
+            self._sync_peer,
+            lambda _: None,
+            metrics,
+        )
+        self.server = LinkServer(
+            self._receive, self._handle_link_up, self._handle_link_down, metrics
         )
-        self.server = LinkServer(self._receive, self._note_up, self._note_down, metrics)
         self.failure: asyncio.Future[None] = self._loop.create_future()
-        self._proposals: dict[str, asyncio.Future[RoutingVersion | None]] = {}
-        self._readers: dict[int, asyncio.Future[None]] = {}
+        self._pending_proposals: dict[str, asyncio.Future[RoutingVersion | None]] = {}
+        self._pending_reads: dict[int, asyncio.Future[None]] = {}
         self._is_pumping = False
-        self._heartbeat_at = 0.0
+        self._next_heartbeat_at = 0.0
 
     def now(self) -> float:
-        """Seconds of the clock that only runs forward."""
+        """Return the monotonic time in seconds."""
         return self._loop.time()
 
     async def run(self) -> None:
         """Run the timers until cancelled."""
         while True:
             self.execute(self.instance.advance(self.now()))
-            self.dialer.close_silent(self.now())
-            self.server.close_silent(self.now())
+            self.dialer.close_unresponsive(self.now())
+            self.server.close_unresponsive(self.now())
             self._send_heartbeats()
-            self._store_hints()
+            self._write_lists()
             self.schedule_pump()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _store_hints(self) -> None:
+    def _write_lists(self) -> None:
         instance = self.instance
-        self._upstream_store.store_due(instance.upstreams.changes, self.now())
-        self._crash_store.store_due(instance.crashes.ledger.changes, self.now())
+        self._upstream_writer.write_if_due(instance.upstreams.changes, self.now())
+        self._crash_writer.write_if_due(instance.crashes.ledger.changes, self.now())
 
     def _send_heartbeats(self) -> None:
-        if self.now() >= self._heartbeat_at:
-            self._heartbeat_at = self.now() + HEARTBEAT
+        if self.now() >= self._next_heartbeat_at:
+            self._next_heartbeat_at = self.now() + HEARTBEAT_INTERVAL_S
             self.dialer.send_to_all(Heartbeat())
             self.server.send_to_all(Heartbeat())
 
@@ -136,32 +143,32 @@
             actions = self.instance.handle_front(peer.instance, message, self.now())
             self.execute(actions)
         elif peer.role is GatewayRole.CONTROL:
-            self._take_peer_message(peer.instance, message)
+            self._handle_peer_message(peer.instance, message)
 
-    def _hear_relay(self, instance: InstanceId, message: LinkMessage) -> None:
-        """Over a link that this member dialled, only relays answer."""
+    def _receive_from_relay(self, instance: InstanceId, message: LinkMessage) -> None:
+        """Handle a message over a dialled link; only relays send there."""
         if isinstance(message, RelayReply | KnownInstances):
-            self._take_peer_message(instance, message)
+            self._handle_peer_message(instance, message)
 
-    def _take_peer_message(self, sender: InstanceId, message: LinkMessage) -> None:
+    def _handle_peer_message(self, sender: InstanceId, message: LinkMessage) -> None:
         now = self.now()
         self.execute(self.instance.handle_peer(sender, message, now, time.time()))
         self.schedule_pump()
 
-    def _introduce(self, instance: InstanceId) -> None:
+    def _sync_peer(self, instance: InstanceId) -> None:
         self.execute(self.instance.sync_peer(instance))
 
-    def _note_up(self, peer: Introduce) -> None:
+    def _handle_link_up(self, peer: Introduce) -> None:
         match peer.role:
             case GatewayRole.FRONT:
                 self.execute(self.instance.add_front(peer.instance, self.now()))
             case GatewayRole.RELAY:
                 self.execute(self.instance.add_relay(peer.instance, self.now()))
             case GatewayRole.CONTROL:
-                # It runs, so it can be dialled without waiting any longer.
+                # The peer is up: do not wait for the next redial.
                 self.dialer.dial_now(peer.instance)
 
-    def _note_down(self, peer: Introduce) -> None:
+    def _handle_link_down(self, peer: Introduce) -> None:
         match peer.role:
             case GatewayRole.FRONT:
                 self.instance.remove_front(peer.instance, self.now())
@@ -172,30 +179,30 @@
                 replica.record_link_loss(peer.instance, self.now())
 
     def execute(self, actions: Iterable[ControlAction]) -> None:
-        """Carry out actions of the core."""
+        """Perform actions that the core decided on."""
         for action in actions:
             match action:
                 case ToInstance(instance, message):
                     self.dialer.send(instance, message)  # type: ignore[arg-type]
                 case ToFront(front, message):
                     self.server.send(front, message)
-                case ProposalEnded(proposal, held):
-                    future = self._proposals.pop(proposal, None)
+                case ProposalEnded(proposal, version):
+                    future = self._pending_proposals.pop(proposal, None)
                     if future is not None and not future.done():
-                        future.set_result(held)
+                        future.set_result(version)
                 case ReadConfirmed(readers):
-                    self._confirm(readers)
+                    self._resolve_reads(readers)
 
-    def _confirm(self, readers: list[int]) -> None:
+    def _resolve_reads(self, readers: list[int]) -> None:
         for reader in readers:
-            future = self._readers.pop(reader, None)
+            future = self._pending_reads.pop(reader, None)
             if future is not None and not future.done():
                 future.set_result(None)
 
     # The replicated log
 
     def schedule_pump(self) -> None:
-        """Let the member write and send, once for all of this turn's work."""
+        """Schedule one write and send for all work of this event loop iteration."""
         if not self._is_pumping and not self.failure.done():
             self._is_pumping = True
             self._loop.call_soon(self._pump)
@@ -207,7 +214,7 @@
         try:
             pump_control(self.instance.member, self._journal, self._finish, self.now())
         except OSError as error:
-            # What was not written must not be answered for: start over from disk.
+            # Unwritten entries must not be acknowledged: restart from the disk.
             logger.error("log not written", error=str(error))
             self.failure.set_result(None)
 
@@ -215,7 +222,7 @@
         self.execute(self.instance.finish(ready, self.now()))
 
     async def put_routing(self, data: bytes) -> RoutingVersion:
-        """As leader, let the group take a document; return the version that holds."""
+        """As leader, propose a document; return the version that is in force."""
         routing = decode_routing(data)
         check_routing(routing)
         if routing.version <= self.instance.routing.version:
@@ -223,37 +230,37 @@
         stored = pack_routing(routing, data)
         name = self.instance.propose_routing(stored, self.now(), time.time())
         future: asyncio.Future[RoutingVersion | None] = self._loop.create_future()
-        self._proposals[name] = future
+        self._pending_proposals[name] = future
         self.schedule_pump()
         try:
-            async with asyncio.timeout(QUORUM_TIMEOUT):
-                held = await future
+            async with asyncio.timeout(QUORUM_TIMEOUT_S):
+                version = await future
         except TimeoutError:
-            held = None
+            version = None
         finally:
-            self._proposals.pop(name, None)
-        if held is None:
-            raise build_no_quorum()
-        return held
+            self._pending_proposals.pop(name, None)
+        if version is None:
+            raise build_no_quorum_error()
+        return version
 
     async def read_document(self) -> bytes:
-        """As leader, return the newest document, confirmed by a quorum."""
+        """As leader, return the latest document after a quorum confirmed the lead."""
         reader = self.instance.request_fresh_read(self.now())
         future: asyncio.Future[None] = self._loop.create_future()
-        self._readers[reader] = future
+        self._pending_reads[reader] = future
         try:
-            async with asyncio.timeout(QUORUM_TIMEOUT):
+            async with asyncio.timeout(QUORUM_TIMEOUT_S):
                 await future
         except TimeoutError:
-            raise build_no_quorum() from None
+            raise build_no_quorum_error() from None
         finally:
-            self._readers.pop(reader, None)
+            self._pending_reads.pop(reader, None)
         stored = self.instance.member.state.routing
         if stored is None:
             raise RefusedError("no document was accepted yet", kind=ErrorKind.NOT_READY)
         return unpack_document(stored)
 
 
-def build_no_quorum() -> RefusedError:
-    """What a caller is told when the group cannot decide now."""
+def build_no_quorum_error() -> RefusedError:
+    """Return the error for requests that the group cannot decide on now."""
     return RefusedError("no quorum answered", kind=ErrorKind.NO_QUORUM)
--- a/src/scalebend/edges/gateway/control_server.py
+++ b/src/scalebend/edges/gateway/control_server.py
@@ -1,4 +1,4 @@
-"""A control instance of the gateway: its log on disk, links, and its HTTP listener."""
+"""Runs a control instance of the gateway: log, links and HTTP listener."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 logger = structlog.get_logger(__name__)
 
-REOPEN_DELAY = 0.3
-"""Seconds before a log whose disk refused a write is read again."""
+REOPEN_DELAY_S = 0.3
+"""Seconds before the log is reopened after a disk error."""
 
 
 async def serve_control(
@@ -27,17 +27,17 @@
 ) -> None:
     """Run a control instance until ``stopped`` is set.
 
-    A disk that refuses a write ends the member, not the process: it comes back from
-    what the disk holds as soon as the disk takes writes again.
+    A disk error stops the member, not the process: the member is restarted from the
+    stored state until the disk accepts writes again.
     """
     metrics = GatewayMetrics()
     while not stopped.is_set():
         try:
             await _serve_member(settings, metrics, stopped, watch)
         except OSError as error:
-            logger.error("control member ended", error=str(error))
+            logger.error("control member failed", error=str(error))
         if not stopped.is_set():
-            await asyncio.sleep(REOPEN_DELAY)
+            await asyncio.sleep(REOPEN_DELAY_S)
 
 
 async def _serve_member(
@@ -55,8 +55,8 @@
             links = run_links(address, runtime.server, runtime.dialer, runtime.run())
             await stack.enter_async_context(links)
             set_seeds = runtime.instance.member.record_control_instances
-            await stack.enter_async_context(watch.tell(set_seeds))
-            # Votes are cast meanwhile.
+            await stack.enter_async_context(watch.watch_seeds(set_seeds))
+            # The member takes part in elections while the HTTP libraries load.
             calls = await load_http(
                 "scalebend.edges.gateway.control_calls",
                 lambda: runtime.instance.member.leader is not None,
@@ -68,20 +68,20 @@
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
             stopping.cancel()
             if not runtime.failure.done():
-                await _hand_over(runtime)
+                await _hand_over_leadership(runtime)
 
 
 async def _wait_until_set(event: asyncio.Event) -> None:
     await event.wait()
 
 
-HAND_OVER = 0.5
-"""Seconds for another member to take the lead before this process ends."""
+HANDOVER_DELAY_S = 0.5
+"""Seconds for another member to become leader before this process ends."""
 
 
-async def _hand_over(runtime: ControlRuntime) -> None:
+async def _hand_over_leadership(runtime: ControlRuntime) -> None:
     if runtime.instance.is_leader:
         logger.info("leadership handed over")
         runtime.instance.member.stop_leading(runtime.now())
         runtime.schedule_pump()
-        await asyncio.sleep(HAND_OVER)
+        await asyncio.sleep(HANDOVER_DELAY_S)
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -128,7 +128,7 @@
         while True:
             hold = self._compute_hold()
             if hold > 0.0:
-                runtime.metrics.count_held_request()
+                runtime.metrics.count_quarantined_request()
                 self._choice.retry_after = hold
                 decision = self._attempts.refuse(ErrorKind.ENDS_UPSTREAMS)
                 return self._give_up(decision, None)
@@ -279,7 +279,7 @@
         runtime = self._runtime
         limit = runtime.instance.limits.get(target.upstream)
         if limit.rate < UNLIMITED:
-            runtime.metrics.count_limited_attempt(is_first=not self.sent)
+            runtime.metrics.count_rate_limited_attempt(is_first=not self.sent)
             logger.info(
                 "sent to a limited upstream",
                 request=self._call.headers.request,
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -14,7 +14,7 @@
 from scalebend.core.gateway.key_lease import LEASE_MARGIN_S
 from scalebend.edges.gateway.forwarder import Forwarder, StreamBrokenError
 from scalebend.edges.gateway.front_runtime import FrontRuntime
-from scalebend.edges.gateway.http_listener import answer_metrics, listen
+from scalebend.edges.gateway.http_listener import listen, serve_metrics
 from scalebend.edges.gateway.sockets import Listeners
 from scalebend.edges.gateway.upstream_choice import RETRY_LATER
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
@@ -72,7 +72,7 @@
         arrived = runtime.now()
         arrival = _Arrival(read_caller_headers(request.headers), arrived)
         runtime.open_requests += 1
-        runtime.metrics.set_open(runtime.open_requests)
+        runtime.metrics.set_open_requests(runtime.open_requests)
         try:
             await runtime.wait_for_first_lease()
             arrival.route = self._find_route(request)
@@ -103,7 +103,7 @@
             raise
         finally:
             runtime.open_requests -= 1
-            runtime.metrics.set_open(runtime.open_requests)
+            runtime.metrics.set_open_requests(runtime.open_requests)
         if runtime.wants_callers_to_go():
             answer.force_close()
         return answer
@@ -260,7 +260,7 @@
 
     async def answer_ready(request: web.BaseRequest) -> web.StreamResponse:
         if request.path == "/metrics":
-            return await answer_metrics(runtime.metrics, request)
+            return await serve_metrics(runtime.metrics, request)
         is_ready = runtime.instance.is_ready(runtime.now())
         return web.Response(status=200 if is_ready else 503)
 
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -31,7 +31,7 @@
     renew_work,
 )
 from scalebend.edges.gateway.leader_calls import LeaderCalls
-from scalebend.edges.gateway.links import HEARTBEAT, Dialer
+from scalebend.edges.gateway.links import HEARTBEAT_INTERVAL_S, Dialer
 from scalebend.edges.gateway.metrics import GatewayMetrics
 from scalebend.edges.gateway.running_attempts import RunningAttempts
 from scalebend.models.calls import LoadReading
@@ -135,21 +135,21 @@
 
     def _tick(self) -> None:
         now = self.now()
-        self._dialer.keep_to(self.instance.instances)
+        self._dialer.set_targets(self.instance.instances)
         self._execute(self.instance.advance(now))
-        self.metrics.set_limited(self.instance.limits.count_limited())
-        self._dialer.close_silent(now)
+        self.metrics.set_rate_limited_upstreams(self.instance.limits.count_limited())
+        self._dialer.close_unresponsive(now)
         if now >= self._heartbeat_at:
-            self._heartbeat_at = now + HEARTBEAT
+            self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
             self._dialer.send_to_all(Heartbeat())
 
     def _receive(self, sender: InstanceId, message: LinkMessage) -> None:
-        if self._leader_calls.take(message):
+        if self._leader_calls.receive(message):
             return
         leader = self.instance.leader
         self._execute(self.instance.handle(sender, message, self.now()))
         if self.instance.leader != leader:
-            self._leader_calls.note_leader_changed()
+            self._leader_calls.reset_backoff()
         if self.instance.may_admit(self.now()):
             self._first_lease.set()
 
@@ -233,7 +233,7 @@
             answer = await self._leader_calls.place(
                 self.instance.leader,
                 self.instance.exclude_in_backoff(renewed, self.now()),
-                may_pause=False,
+                may_back_off=False,
             )
             waited = self.now() - asked_at
             work = renew_work(work, waited)
@@ -280,7 +280,9 @@
         """
         self._sends += 1
         question = SendPermitRequest(SendId(self._sends), upstreams, patience)
-        answer = await self._leader_calls.request_send(self.instance.leader, question)
+        answer = await self._leader_calls.request_send_permit(
+            self.instance.leader, question
+        )
         if answer is not None:
             return answer
         alone = self.instance.limits.grant(question, self.now())
@@ -340,15 +342,15 @@
             else:
                 self._unknown_words.add(word)
                 logger.warning("unknown word", upstream=upstream, name=word)
-        self.metrics.count_unknown_word(word)
+        self.metrics.count_unknown_header(word)
 
     def note_all_closed(self) -> None:
         """A request is refused, since all upstreams that are left asked for a pause."""
-        self.metrics.count_backoff_refusal()
+        self.metrics.count_backoff_rejection()
 
     def note_limits_full(self) -> None:
         """A request is refused, since no upstream that might take it has room."""
-        self.metrics.count_limit_refusal()
+        self.metrics.count_rate_limit_rejection()
 
     def note_lost(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         """An upstream ended, or cut the request off, while it ran it."""
--- a/src/scalebend/edges/gateway/front_server.py
+++ b/src/scalebend/edges/gateway/front_server.py
@@ -42,7 +42,7 @@
     metrics = GatewayMetrics()
     async with contextlib.AsyncExitStack() as stack:
         runtime = await stack.enter_async_context(run_front(settings, metrics))
-        await stack.enter_async_context(watch.tell(runtime.instance.set_seeds))
+        await stack.enter_async_context(watch.watch_seeds(runtime.instance.set_seeds))
         # Links come up and the routing document arrives meanwhile.
         calls = await load_http(
             "scalebend.edges.gateway.front_calls",
--- a/src/scalebend/edges/gateway/http_listener.py
+++ b/src/scalebend/edges/gateway/http_listener.py
@@ -1,4 +1,4 @@
-"""Serves HTTP at a listening socket; shared by fronts, control instances and relays."""
+"""HTTP server on a listening socket, for fronts, control instances and relays."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 from scalebend.edges.gateway.metrics import GatewayMetrics
 from scalebend.edges.gateway.sockets import BACKLOG
 
-HEADER_LINE_BYTES = 16 * 1024
-"""Bytes of one header line; the platform's limit for all headers together."""
+MAX_HEADER_LINE_BYTES = 16 * 1024
+"""Maximum size of one header line; the platform's limit for all headers."""
 
-LARGEST_BODY = 64 * 1024 * 1024
-"""Bytes that the library may hold; the routing document sets the real limit."""
+MAX_BODY_BYTES = 64 * 1024 * 1024
+"""Upper limit of the library; the routing document sets the effective one."""
 
-KEEPALIVE_TIME = 75.0
-"""Seconds for which an idle connection is kept, longer than callers reuse one."""
+KEEPALIVE_TIMEOUT_S = 75.0
+"""Idle time before a connection is closed; longer than callers reuse one."""
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 def _build_request(*parts):  # type: ignore[no-untyped-def]
-    """Make the library's request, with room for the largest body."""
+    """Build the library's request object with the maximum body size."""
     loop = asyncio.get_running_loop()
     return web.BaseRequest(  # type: ignore[misc]
         *parts,
         loop,  # type: ignore[arg-type]
-        client_max_size=LARGEST_BODY,
+        client_max_size=MAX_BODY_BYTES,
     )
 
 
 @contextlib.asynccontextmanager
 async def listen(sock: socket.socket, handler: Handler) -> AsyncIterator[web.SockSite]:
-    """Serve ``handler`` at a socket that listens."""
+    """Serve ``handler`` on a listening socket until the block ends."""
     server = web.Server(
         handler,
         request_factory=_build_request,
         handler_cancellation=True,
         access_log=None,
-        keepalive_timeout=KEEPALIVE_TIME,
-        max_line_size=HEADER_LINE_BYTES,
-        max_field_size=HEADER_LINE_BYTES,
+        keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+        max_line_size=MAX_HEADER_LINE_BYTES,
+        max_field_size=MAX_HEADER_LINE_BYTES,
     )
     runner = web.ServerRunner(server, shutdown_timeout=0.2)
     await runner.setup()
@@ -56,8 +56,8 @@
         await runner.cleanup()
 
 
-async def answer_metrics(
+async def serve_metrics(
     metrics: GatewayMetrics, request: web.BaseRequest
 ) -> web.StreamResponse:
-    """Answer with the figures of this process."""
+    """Respond with the metrics of this process."""
     return web.Response(body=metrics.render(), content_type="text/plain")
--- a/src/scalebend/edges/gateway/http_loading.py
+++ b/src/scalebend/edges/gateway/http_loading.py
@@ -1,7 +1,7 @@
-"""Loads what serves HTTP while the event loop goes on.
+"""Loads the HTTP libraries while the event loop keeps running.
 
-That takes three quarters of the processor time of a start. Links need none of it: they
-come up meanwhile, a group elects its leader, and a front receives its document.
+They take most of the processor time of a start, and links do not need them: meanwhile
+links come up, a group elects its leader, and a front receives its routing document.
 """
 
 from __future__ import annotations
@@ -13,35 +13,34 @@
 
 SMALL_LIBRARIES = ("multidict", "yarl", "attr")
 LARGE_LIBRARIES = ("aiohttp", "aiohttp.web")
-"""In the order in which one needs the other. The first large one blocks the loop for
-0.12 s of processor time, which is a second on an eighth of a core."""
+"""In the order of their dependencies. The first large one blocks the event loop for
+long where the process has only a part of a core."""
 
-TURN = 0.002
-"""Seconds that the loop has between two modules: a way to another availability zone and
-back. A thread would do without, but on a part of one core it leaves the loop hardly a
-turn: on 0.12 of a core links come up after all is loaded, with turns 0.75 s before."""
+LOOP_TURN_S = 0.002
+"""Seconds for the event loop between two imports, a round trip to another availability
+zone. Not a thread: on a part of one core, imports in a thread starve the event loop."""
 
-LONGEST_WAIT = 0.025
-"""Seconds to wait before the large ones for what is under way over the links: some ways
-between availability zones and back, and a document over a link of 10 Mbit/s."""
+MAX_SETTLE_WAIT_S = 0.025
+"""Maximum time to wait for messages on the links before the large imports: a few round
+trips between availability zones, and a routing document over a slow link."""
 
 
-async def load_http(wanted: str, is_settled: Callable[[], bool]) -> ModuleType:
+async def load_http(module_name: str, is_settled: Callable[[], bool]) -> ModuleType:
     """Import a module that serves HTTP.
 
-    ``is_settled`` tells whether nothing more is expected over the links now.
+    ``is_settled`` returns whether no more messages are expected over the links now.
     """
-    await load_in_turns(SMALL_LIBRARIES)
+    await import_in_steps(SMALL_LIBRARIES)
     waited = 0.0
-    while waited < LONGEST_WAIT and not is_settled():
-        await asyncio.sleep(TURN)
-        waited += TURN
-    await load_in_turns(LARGE_LIBRARIES)
-    return importlib.import_module(wanted)
+    while waited < MAX_SETTLE_WAIT_S and not is_settled():
+        await asyncio.sleep(LOOP_TURN_S)
+        waited += LOOP_TURN_S
+    await import_in_steps(LARGE_LIBRARIES)
+    return importlib.import_module(module_name)
 
 
-async def load_in_turns(names: Iterable[str]) -> None:
-    """Import modules one by one, with a turn of the loop after each."""
+async def import_in_steps(names: Iterable[str]) -> None:
+    """Import modules one by one; the event loop runs after each."""
     for name in names:
         importlib.import_module(name)
-        await asyncio.sleep(TURN)
+        await asyncio.sleep(LOOP_TURN_S)
--- a/src/scalebend/edges/gateway/leader_calls.py
+++ b/src/scalebend/edges/gateway/leader_calls.py
@@ -1,4 +1,4 @@
-"""Questions of a front to the leader, each with a time limit."""
+"""Requests of a front to the leader, each with a timeout."""
 
 from __future__ import annotations
 
@@ -20,71 +20,73 @@
 
 logger = structlog.get_logger(__name__)
 
-_Answer = PlacementReply | SendPermitReply
+_Reply = PlacementReply | SendPermitReply
 
 
 class LeaderCalls:
-    """Questions that wait for their answers; a leader that is late is left in peace."""
+    """Sends requests to the leader and awaits replies; backs off after a timeout."""
 
     def __init__(self, send: Callable[[InstanceId, LinkMessage], object]) -> None:
         self._send = send
         self._loop = asyncio.get_running_loop()
-        self._waiting: dict[JobId | SendId, asyncio.Future[_Answer]] = {}
-        self._paused_until = 0.0
+        self._pending: dict[JobId | SendId, asyncio.Future[_Reply]] = {}
+        self._backoff_until = 0.0
 
-    def take(self, message: LinkMessage) -> bool:
-        """Take a message, if it is an answer; one that is late is dropped."""
+    def receive(self, message: LinkMessage) -> bool:
+        """Handle a reply, or drop a late one; return whether the message was one."""
         match message:
-            case PlacementReply(job=name):
-                future = self._waiting.pop(name, None)
-            case SendPermitReply(request_id=number):
-                future = self._waiting.pop(number, None)
+            case PlacementReply(job=job):
+                future = self._pending.pop(job, None)
+            case SendPermitReply(request_id=request_id):
+                future = self._pending.pop(request_id, None)
             case _:
                 return False
         if future is not None and not future.done():
             future.set_result(message)
         return True
 
-    def note_leader_changed(self) -> None:
-        """Another one leads: that the last did not answer says nothing of it."""
-        self._paused_until = 0.0
+    def reset_backoff(self) -> None:
+        """End the backoff, because the leader changed."""
+        self._backoff_until = 0.0
 
     async def place(
-        self, leader: InstanceId | None, work: EngineWork, *, may_pause: bool = True
+        self, leader: InstanceId | None, work: EngineWork, *, may_back_off: bool = True
     ) -> PlacementReply | None:
-        """Where work should run; ``None`` if the leader does not answer in time."""
-        question = PlacementRequest(work)
-        answer = await self._ask(leader, work.job, question, may_pause=may_pause)
-        return answer if isinstance(answer, PlacementReply) else None
+        """Return where work should run; ``None`` without a leader's reply in time."""
+        request = PlacementRequest(work)
+        reply = await self._request(
+            leader, work.job, request, may_back_off=may_back_off
+        )
+        return reply if isinstance(reply, PlacementReply) else None
 
-    async def request_send(
-        self, leader: InstanceId | None, question: SendPermitRequest
+    async def request_send_permit(
+        self, leader: InstanceId | None, request: SendPermitRequest
     ) -> SendPermitReply | None:
-        """Whether a request may be sent to a limited upstream."""
-        name = question.request_id
-        answer = await self._ask(leader, name, question, may_pause=True)
-        return answer if isinstance(answer, SendPermitReply) else None
+        """Request a send permit; ``None`` without the leader's reply in time."""
+        request_id = request.request_id
+        reply = await self._request(leader, request_id, request, may_back_off=True)
+        return reply if isinstance(reply, SendPermitReply) else None
 
-    async def _ask(
+    async def _request(
         self,
         leader: InstanceId | None,
-        name: JobId | SendId,
-        question: PlacementRequest | SendPermitRequest,
+        request_id: JobId | SendId,
+        request: PlacementRequest | SendPermitRequest,
         *,
-        may_pause: bool,
-    ) -> _Answer | None:
-        if leader is None or self._loop.time() < self._paused_until:
+        may_back_off: bool,
+    ) -> _Reply | None:
+        if leader is None or self._loop.time() < self._backoff_until:
             return None
-        future: asyncio.Future[_Answer] = self._loop.create_future()
-        self._waiting[name] = future
-        self._send(leader, question)
+        future: asyncio.Future[_Reply] = self._loop.create_future()
+        self._pending[request_id] = future
+        self._send(leader, request)
         try:
             async with asyncio.timeout(PLACEMENT_TIMEOUT_S):
                 return await future
         except TimeoutError:
-            if may_pause:
-                self._paused_until = self._loop.time() + LEADER_BACKOFF_S
-            logger.info("leader did not place in time", leader=leader, job=name)
+            if may_back_off:
+                self._backoff_until = self._loop.time() + LEADER_BACKOFF_S
+            logger.info("leader did not place in time", leader=leader, job=request_id)
             return None
         finally:
-            self._waiting.pop(name, None)
+            self._pending.pop(request_id, None)
--- a/src/scalebend/edges/gateway/links.py
+++ b/src/scalebend/edges/gateway/links.py
@@ -1,12 +1,12 @@
 """Links between processes: MessagePack frames over TCP.
 
-gRPC serves the instances of a cluster that know each other by name; here every engine
-request crosses a link twice, and a frame over plain TCP costs half as much processor
-time and wait as a message on a gRPC stream (docs/design/platform.md).
+Every engine request crosses a link twice, and a frame over plain TCP has lower latency
+and processor cost than a message on a gRPC stream, which cluster instances use
+(docs/design/platform.md).
 
-Frames are a length of four bytes, whose highest bit says that what follows is
-compressed, and one :data:`LinkMessage`. Who dials introduces itself first. A link on
-which nothing arrives for a while is closed and dialled anew.
+A frame is a length of four bytes, whose highest bit marks a compressed body, and one
+:data:`LinkMessage`. The first frame of the dialling process is its introduction. A link
+that receives nothing within the timeout is closed and dialled again.
 """
 
 from __future__ import annotations
@@ -31,41 +31,40 @@
 
 logger = structlog.get_logger(__name__)
 
-LARGEST_FRAME = 32 * 1024 * 1024
-"""Bytes; a snapshot chunk or a full routing document stays far below."""
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+"""Maximum frame size; snapshot chunks and full routing documents are far smaller."""
 
-MOST_UNSENT = 8 * 1024 * 1024
-"""Bytes that may wait for a slow peer before its link is closed."""
+MAX_UNSENT_BYTES = 8 * 1024 * 1024
+"""Unsent bytes to a slow peer beyond which its link is closed."""
 
-HEARTBEAT = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 """Seconds between two heartbeats in each direction of a link."""
 
-SILENCE = 1.6
-"""Seconds without a frame after which a link counts as lost: three heartbeats."""
+LINK_TIMEOUT_S = 1.6
+"""Seconds without received bytes before a link is closed: three heartbeats."""
 
-CONNECT_TIMEOUT = 0.3
-"""Seconds until a connection must stand: a hundred times the way within a region. A
-first packet to a machine that is still starting is lost, and sent again by the kernel
-only after a second, in which callers would wait at a front that has no lease."""
+CONNECT_TIMEOUT_S = 0.3
+"""Seconds for a connection attempt, far above the round trip within a region. A SYN to
+a host that is still starting is lost, and the kernel resends it only after a second,
+during which callers wait at a front that has no lease."""
 
-FIRST_REDIAL = 0.1
-LONGEST_REDIAL = 0.2
-"""Seconds between two attempts to dial, doubling from the first to the longest. A try
-at a port where nobody listens yet costs a packet each way; when all processes start
-again, the last to be linked is late by one such pause."""
+FIRST_REDIAL_DELAY_S = 0.1
+MAX_REDIAL_DELAY_S = 0.2
+"""Seconds between two connection attempts, doubling up to the maximum. Short, since a
+refused attempt is cheap and the delay adds to the recovery after a full restart."""
 
 UNACKED_TIMEOUT_MS = 2000
-"""Milliseconds after which the kernel gives up on bytes that were not acknowledged."""
+"""Time after which the kernel closes a connection with unacknowledged bytes."""
 
-COMPRESSED_FROM = 512
-"""Bytes from which a message is compressed: lists of upstreams and of their load, whose
-names repeat themselves, shrink to a third; questions and answers are far shorter."""
+MIN_COMPRESSED_BYTES = 512
+"""Minimum size of a compressed message: lists of upstreams and of their load compress
+well, since names repeat; requests and replies are far shorter."""
 
-COMPRESSION = 1
-"""Level of zlib: 0.1 ms for all upstreams of a large deployment."""
+COMPRESSION_LEVEL = 1
+"""Level of zlib, the fastest."""
 
-KEPT_FRAMES = 4
-"""Messages whose frames are kept, to encode what goes to all processes once."""
+MAX_CACHED_FRAMES = 4
+"""Recent messages whose frames are cached, to encode a broadcast once."""
 
 _LENGTH = struct.Struct(">I")
 _COMPRESSED = 1 << 31
@@ -76,24 +75,24 @@
 def _build_frame(message: LinkMessage) -> bytes:
     data = _ENCODER.encode(message)
     flag = 0
-    if len(data) >= COMPRESSED_FROM:
-        smaller = zlib.compress(data, COMPRESSION)
-        if len(smaller) < len(data):
-            data, flag = smaller, _COMPRESSED
+    if len(data) >= MIN_COMPRESSED_BYTES:
+        compressed = zlib.compress(data, COMPRESSION_LEVEL)
+        if len(compressed) < len(data):
+            data, flag = compressed, _COMPRESSED
     return _LENGTH.pack(len(data) | flag) + data
 
 
 def _decompress(data: bytes) -> bytes:
-    """Raise :class:`zlib.error` for what is damaged or too large."""
+    """Decompress ``data``; raise :class:`zlib.error` if damaged or too large."""
     stream = zlib.decompressobj()
-    whole = stream.decompress(data, LARGEST_FRAME)
+    whole = stream.decompress(data, MAX_FRAME_BYTES)
     if not stream.eof:
         raise zlib.error("incomplete or too large")
     return whole
 
 
 def read_introduction(data: bytes) -> InstanceId | None:
-    """The process that dialled, from the first bytes of its link."""
+    """Return the process that dialled, from the first bytes of its link."""
     if len(data) < _LENGTH.size:
         return None
     end = _LENGTH.size + _LENGTH.unpack_from(data)[0]
@@ -110,49 +109,49 @@
     def __init__(
         self,
         on_message: Callable[[Link, LinkMessage], None],
-        on_lost: Callable[[Link], None],
+        on_closed: Callable[[Link], None],
     ) -> None:
         self._on_message = on_message
-        self._on_lost = on_lost
+        self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
         self.peer: Introduce | None = None
-        self.heard_at = asyncio.get_running_loop().time()
-        self.lost = asyncio.get_running_loop().create_future()
+        self.last_received_at = asyncio.get_running_loop().time()
+        self.closed = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (called by asyncio)."""
+        """Store the transport and set socket options (called by asyncio)."""
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection ended (called by asyncio)."""
+        """Report that the connection ended (called by asyncio)."""
         self._transport = None
-        if not self.lost.done():
-            self.lost.set_result(None)
-        self._on_lost(self)
+        if not self.closed.done():
+            self.closed.set_result(None)
+        self._on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes and hand on whole frames (called by asyncio)."""
-        self.heard_at = asyncio.get_running_loop().time()
+        """Buffer bytes and dispatch complete frames (called by asyncio)."""
+        self.last_received_at = asyncio.get_running_loop().time()
         self._buffer += data
-        while (frame := self._take_frame()) is not None:
+        while (frame := self._read_frame()) is not None:
             try:
-                message = _DECODER.decode(frame.read())
+                message = _DECODER.decode(frame.decompress())
             except (msgspec.MsgspecError, zlib.error) as error:
-                logger.warning("frame not understood", error=str(error))
+                logger.warning("frame could not be decoded", error=str(error))
                 self.close()
                 return
             self._on_message(self, message)
 
-    def _take_frame(self) -> _Frame | None:
+    def _read_frame(self) -> _Frame | None:
         if len(self._buffer) < _LENGTH.size:
             return None
         head = _LENGTH.unpack_from(self._buffer)[0]
         size = head & ~_COMPRESSED
-        if size > LARGEST_FRAME:
+        if size > MAX_FRAME_BYTES:
             logger.warning("frame too large", size=size)
             self.close()
             return None
@@ -164,68 +163,70 @@
         return _Frame(data, is_compressed=bool(head & _COMPRESSED))
 
     def send(self, message: LinkMessage) -> None:
-        """Send a message, at most once; a peer that does not read loses its link."""
+        """Send a message at most once; a peer that does not read is disconnected."""
         self.send_frame(_build_frame(message))
 
     def send_frame(self, frame: bytes) -> None:
-        """Send a message that is encoded already."""
+        """Send an encoded message."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        if transport.get_write_buffer_size() > MOST_UNSENT:
-            logger.warning("link overfull", unsent=transport.get_write_buffer_size())
+        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            logger.warning(
+                "link send buffer is full", unsent=transport.get_write_buffer_size()
+            )
             self.close()
             return
         transport.write(frame)
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
-    def close_if_silent(self, now: float) -> None:
-        """End the connection if nothing was heard for too long."""
-        if now - self.heard_at > SILENCE:
+    def close_if_unresponsive(self, now: float) -> None:
+        """Abort the connection if nothing was received within the timeout."""
+        if now - self.last_received_at > LINK_TIMEOUT_S:
             self.close()
 
 
 class _Frame(msgspec.Struct, frozen=True):
-    """One message as it came over a link."""
+    """One encoded message as received."""
 
     data: bytes
     is_compressed: bool
 
-    def read(self) -> bytes:
+    def decompress(self) -> bytes:
         return _decompress(self.data) if self.is_compressed else self.data
 
 
 class _FrameCache:
-    """Frames of the last messages: what goes to all processes is encoded once."""
+    """Caches the frames of recent messages, so that a broadcast is encoded once."""
 
     def __init__(self) -> None:
-        self._kept: deque[tuple[LinkMessage, bytes]] = deque(maxlen=KEPT_FRAMES)
+        self._cached: deque[tuple[LinkMessage, bytes]] = deque(maxlen=MAX_CACHED_FRAMES)
 
     def build(self, message: LinkMessage) -> bytes:
-        """Return the frame of a message."""
-        for kept, frame in self._kept:
-            # Messages are frozen, so the same object is the same frame.
-            if kept is message:
+        """Return the frame of a message, encoded unless cached."""
+        for cached, frame in self._cached:
+            # Messages are immutable, so the same object has the same frame.
+            if cached is message:
                 return frame
         frame = _build_frame(message)
-        if len(frame) >= COMPRESSED_FROM:
-            self._kept.append((message, frame))
+        if len(frame) >= MIN_COMPRESSED_BYTES:
+            self._cached.append((message, frame))
         return frame
 
 
 class _LinkCounter:
-    """Counts the starts of links, and says which peers' links do not last."""
+    """Counts link starts and reports peers whose links are unstable."""
 
     def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
         self._history = LinkHistory()
 
-    def note_start(self, peer: InstanceId) -> None:
-        """A link is up."""
+    def record_start(self, peer: InstanceId) -> None:
+        """Record that a link came up."""
         self._metrics.count_link_start()
         if self._history.record_start(peer, asyncio.get_running_loop().time()):
             logger.warning("link unstable", instance=peer)
@@ -233,45 +234,45 @@
 
 
 class Dialer:
-    """Keeps a link to each of a set of addresses."""
+    """Maintains a link to each of a set of instances."""
 
     def __init__(
         self,
-        me: Introduce,
+        introduction: Introduce,
         on_message: Callable[[InstanceId, LinkMessage], None],
         on_up: Callable[[InstanceId], None],
         on_down: Callable[[InstanceId], None],
         metrics: GatewayMetrics,
     ) -> None:
         self._counter = _LinkCounter(metrics)
-        self._me = me
+        self._introduction = introduction
         self._on_message = on_message
         self._on_up = on_up
         self._on_down = on_down
         self._links: dict[InstanceId, Link] = {}
         self._tasks: dict[InstanceId, asyncio.Task[None]] = {}
-        self._wake: dict[InstanceId, asyncio.Event] = {}
+        self._wake_events: dict[InstanceId, asyncio.Event] = {}
 
     def dial(self, instance: InstanceId) -> None:
-        """Keep a link to ``instance``, whose id is its address, from now on."""
-        if instance not in self._tasks and instance != self._me.instance:
-            self._tasks[instance] = asyncio.create_task(self._keep(instance))
+        """Maintain a link to ``instance``, whose id is its address, from now on."""
+        if instance not in self._tasks and instance != self._introduction.instance:
+            self._tasks[instance] = asyncio.create_task(self._maintain_link(instance))
 
-    def keep_to(self, instances: set[InstanceId]) -> None:
-        """Keep links to these instances, and dial no others any more."""
+    def set_targets(self, instances: set[InstanceId]) -> None:
+        """Maintain links to these instances; stop dialling others without a link."""
         for instance in instances:
             self.dial(instance)
         for instance in set(self._tasks) - instances - set(self._links):
             self._tasks.pop(instance).cancel()
-            self._wake.pop(instance, None)
+            self._wake_events.pop(instance, None)
             logger.info("instance not dialled any more", instance=instance)
 
     def dial_now(self, instance: InstanceId) -> None:
-        """Dial without waiting for the next attempt, if no link is up."""
-        if instance in self._links or instance == self._me.instance:
+        """Skip the delay before the next attempt if no link is up."""
+        if instance in self._links or instance == self._introduction.instance:
             return
         self.dial(instance)
-        self._wake.setdefault(instance, asyncio.Event()).set()
+        self._wake_events.setdefault(instance, asyncio.Event()).set()
 
     def send_to_all(self, message: LinkMessage) -> None:
         """Send a message over every link that is up."""
@@ -279,7 +280,7 @@
             link.send(message)
 
     def send(self, instance: InstanceId, message: LinkMessage) -> bool:
-        """Send a message if the link is up; return whether it is."""
+        """Send a message if the link is up; return whether it was."""
         link = self._links.get(instance)
         if link is None:
             self.dial(instance)
@@ -287,34 +288,34 @@
         link.send(message)
         return True
 
-    def close_silent(self, now: float) -> None:
-        """End links on which nothing is heard."""
+    def close_unresponsive(self, now: float) -> None:
+        """Close links that received nothing within the timeout."""
         for link in list(self._links.values()):
-            link.close_if_silent(now)
+            link.close_if_unresponsive(now)
 
-    async def _keep(self, instance: InstanceId) -> None:
-        delay = FIRST_REDIAL
+    async def _maintain_link(self, instance: InstanceId) -> None:
+        delay = FIRST_REDIAL_DELAY_S
         while True:
             link = await self._connect(instance)
             if link is not None:
-                delay = FIRST_REDIAL
-                link.send(self._me)
+                delay = FIRST_REDIAL_DELAY_S
+                link.send(self._introduction)
                 self._links[instance] = link
                 logger.info("link up", instance=instance)
-                self._counter.note_start(instance)
+                self._counter.record_start(instance)
                 self._on_up(instance)
                 try:
-                    await link.lost
+                    await link.closed
                 finally:
                     link.close()
                     del self._links[instance]
                     logger.info("link down", instance=instance)
                     self._on_down(instance)
-            await self._pause(instance, delay)
-            delay = min(LONGEST_REDIAL, delay * 2.0)
+            await self._wait_to_redial(instance, delay)
+            delay = min(MAX_REDIAL_DELAY_S, delay * 2.0)
 
-    async def _pause(self, instance: InstanceId, delay: float) -> None:
-        wake = self._wake.setdefault(instance, asyncio.Event())
+    async def _wait_to_redial(self, instance: InstanceId, delay: float) -> None:
+        wake = self._wake_events.setdefault(instance, asyncio.Event())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(delay):
                 await wake.wait()
@@ -324,21 +325,21 @@
         address = parse_address(instance)
         loop = asyncio.get_running_loop()
 
-        def take(link: Link, message: LinkMessage) -> None:
+        def receive(link: Link, message: LinkMessage) -> None:
             self._on_message(instance, message)
 
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, link = await loop.create_connection(
-                    lambda: Link(take, lambda _: None), address.host, address.port
+                    lambda: Link(receive, lambda _: None), address.host, address.port
                 )
         except (OSError, TimeoutError) as error:
-            logger.debug("link refused", instance=instance, error=str(error))
+            logger.debug("link not established", instance=instance, error=str(error))
             return None
         return link
 
     async def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -346,7 +347,7 @@
 
 
 class LinkServer:
-    """Accepts links; a process that dials again replaces its older link."""
+    """Accepts links; a new link of a process replaces its older one."""
 
     def __init__(
         self,
@@ -364,13 +365,13 @@
         self._frames = _FrameCache()
 
     def build_link(self) -> Link:
-        """Return the protocol of a new connection."""
-        link = Link(self._take, self._lose)
+        """Return the protocol for a new connection."""
+        link = Link(self._receive, self._remove)
         self._accepted.add(link)
         return link
 
     def send(self, instance: InstanceId, message: LinkMessage) -> None:
-        """Send a message to a process that dialled, if its link is up."""
+        """Send a message to a process if it has a link to this one."""
         link = self._links.get(instance)
         if link is not None:
             link.send_frame(self._frames.build(message))
@@ -380,17 +381,17 @@
         for link in self._links.values():
             link.send(message)
 
-    def close_silent(self, now: float) -> None:
-        """End links on which nothing is heard."""
+    def close_unresponsive(self, now: float) -> None:
+        """Close links that received nothing within the timeout."""
         for link in list(self._accepted):
-            link.close_if_silent(now)
+            link.close_if_unresponsive(now)
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in list(self._accepted):
             link.close()
 
-    def _take(self, link: Link, message: LinkMessage) -> None:
+    def _receive(self, link: Link, message: LinkMessage) -> None:
         if link.peer is not None:
             self._on_message(link.peer, message)
         elif isinstance(message, Introduce):
@@ -399,13 +400,13 @@
             self._links[message.instance] = link
             if older is not None:
                 older.close()
-            self._counter.note_start(message.instance)
+            self._counter.record_start(message.instance)
             self._on_up(message)
         else:
-            logger.warning("link without introduction")
+            logger.warning("first frame of a link is not an introduction")
             link.close()
 
-    def _lose(self, link: Link) -> None:
+    def _remove(self, link: Link) -> None:
         self._accepted.discard(link)
         peer = link.peer
         if peer is not None and self._links.get(peer.instance) is link:
@@ -415,7 +416,7 @@
 
 @contextlib.asynccontextmanager
 async def listen_for_links(address: str, server: LinkServer) -> AsyncIterator[None]:
-    """Accept links at ``address``."""
+    """Accept links at ``address`` until the block ends."""
     parsed = parse_address(address)
     loop = asyncio.get_running_loop()
     listener = await loop.create_server(server.build_link, parsed.host, parsed.port)
@@ -430,7 +431,7 @@
 async def run_links(
     address: str, server: LinkServer, dialer: Dialer, timers: Coroutine[Any, Any, None]
 ) -> AsyncIterator[None]:
-    """Accept links at ``address`` and run a process' timers until the block ends."""
+    """Accept links at ``address`` and run ``timers`` until the block ends."""
     async with listen_for_links(address, server):
         task = asyncio.create_task(timers)
         try:
--- a/src/scalebend/edges/gateway/metrics.py
+++ b/src/scalebend/edges/gateway/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms, as text on the metrics address.
+"""Counters and latency histograms in the Prometheus text format.
 
-``prometheus_client`` rather than ``statsd``: the users read figures from an address
-of the process, and run no collector that takes datagrams.
+``prometheus_client`` rather than ``statsd``: the users scrape metrics over HTTP and run
+no collector for datagrams.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 )
 
 LATENCY_BUCKETS = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 5.0, 10.0, 15.0)
-"""Seconds; the targets of the deployments are among them."""
+"""Bounds in seconds; they include the latency targets of the deployments."""
 
 
 class GatewayMetrics:
-    """The figures of one process."""
+    """Metrics of one process."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -61,23 +61,23 @@
             "Attempts that an upstream cut off, or that ended with it",
             registry=registry,
         )
-        self._held_requests = Counter(
+        self._quarantined_requests = Counter(
             "scalebend_held_requests",
             "Arrivals refused since upstreams ended under the same request",
             registry=registry,
         )
-        self._limited_upstreams = Gauge(
+        self._rate_limited_upstreams = Gauge(
             "scalebend_limited_upstreams",
             "Upstreams that take only so many requests a second, as known here",
             registry=registry,
         )
-        self._limited_attempts = Counter(
+        self._rate_limited_attempts = Counter(
             "scalebend_limited_attempts",
             "Attempts at such upstreams, by whether the request was sent before",
             ["attempt"],
             registry=registry,
         )
-        self._limit_refusals = Counter(
+        self._rate_limit_rejections = Counter(
             "scalebend_limit_refusals",
             "Requests refused since limited upstreams alone were left, without room",
             registry=registry,
@@ -87,12 +87,12 @@
             "Answers with which upstreams asked for a pause",
             registry=registry,
         )
-        self._backoff_refusals = Counter(
+        self._backoff_rejections = Counter(
             "scalebend_backoff_refusals",
             "Requests refused since all upstreams had asked for a pause",
             registry=registry,
         )
-        self._unknown_words = Counter(
+        self._unknown_headers = Counter(
             "scalebend_unknown_words",
             "Answers with a header by which an upstream says what nothing here reads",
             ["name"],
@@ -108,73 +108,73 @@
             "Times that one peer's links came up more often than is usual",
             registry=registry,
         )
-        self._open = Gauge(
+        self._open_requests = Gauge(
             "scalebend_open_requests", "Requests not answered yet", registry=registry
         )
 
     def count_request(self, kind: str, status: int, duration: float) -> None:
-        """A request was answered after ``duration`` seconds."""
+        """Count a completed request that took ``duration`` seconds."""
         self._requests.labels(kind, str(status)).inc()
         self._duration.labels(kind).observe(duration)
 
     def count_attempt(self, outcome: str) -> None:
-        """An attempt at an upstream ended."""
+        """Count an attempt at an upstream by its outcome."""
         self._attempts.labels(outcome).inc()
 
     def count_placement(self, decider: str) -> None:
-        """Work was placed on engines."""
+        """Count a placement on engines by who decided."""
         self._placements.labels(decider).inc()
 
     def count_lost_request(self) -> None:
-        """An upstream cut an attempt off, or ended while it ran it."""
+        """Count an attempt whose upstream crashed or broke the connection."""
         self._lost_requests.inc()
 
-    def count_held_request(self) -> None:
-        """A request was refused since upstreams ended under it."""
-        self._held_requests.inc()
+    def count_quarantined_request(self) -> None:
+        """Count a request that was refused because it is in quarantine."""
+        self._quarantined_requests.inc()
 
-    def set_limited(self, count: int) -> None:
-        """Upstreams with a limit on requests a second."""
-        self._limited_upstreams.set(count)
+    def set_rate_limited_upstreams(self, count: int) -> None:
+        """Set the number of rate-limited upstreams."""
+        self._rate_limited_upstreams.set(count)
 
-    def count_limited_attempt(self, *, is_first: bool) -> None:
-        """A request is sent to an upstream with a limit."""
-        self._limited_attempts.labels("first" if is_first else "again").inc()
+    def count_rate_limited_attempt(self, *, is_first: bool) -> None:
+        """Count an attempt at a rate-limited upstream."""
+        self._rate_limited_attempts.labels("first" if is_first else "again").inc()
 
-    def count_limit_refusal(self) -> None:
-        """No upstream with room was left for a request."""
-        self._limit_refusals.inc()
+    def count_rate_limit_rejection(self) -> None:
+        """Count a request for which only exhausted rate-limited upstreams were left."""
+        self._rate_limit_rejections.inc()
 
     def count_backoff(self) -> None:
-        """An upstream turned a request away, and asked for a pause."""
+        """Count a rejection with which an upstream requested backoff."""
         self._backoffs.inc()
 
-    def count_backoff_refusal(self) -> None:
-        """No upstream that takes requests now was left for a request."""
-        self._backoff_refusals.inc()
+    def count_backoff_rejection(self) -> None:
+        """Count a request for which all upstreams were in backoff."""
+        self._backoff_rejections.inc()
 
-    def count_unknown_word(self, name: str) -> None:
-        """An answer had a header that begins like an upstream's word about itself."""
-        self._unknown_words.labels(name).inc()
+    def count_unknown_header(self, name: str) -> None:
+        """Count a response with an unknown header of the upstreams' namespace."""
+        self._unknown_headers.labels(name).inc()
 
     def count_link_start(self) -> None:
-        """A link is up."""
+        """Count a link that came up."""
         self._link_starts.inc()
 
     def count_unstable_link(self) -> None:
-        """The links of one peer end and come back again and again."""
+        """Count a peer whose links repeatedly end and come back."""
         self._unstable_links.inc()
 
     def observe_first_event(self, prompt_tokens: int, seconds: float) -> None:
-        """A stream's first event came after ``seconds``."""
+        """Record the time to the first event of a stream."""
         self._first_event.labels(_name_size(prompt_tokens)).observe(seconds)
 
-    def set_open(self, count: int) -> None:
-        """Requests that are not answered yet."""
-        self._open.set(count)
+    def set_open_requests(self, count: int) -> None:
+        """Set the number of requests in progress."""
+        self._open_requests.set(count)
 
     def render(self) -> bytes:
-        """The figures in the text format."""
+        """Return the metrics in the text format."""
         return generate_latest(self._registry)
 
 
--- a/src/scalebend/edges/gateway/relay_server.py
+++ b/src/scalebend/edges/gateway/relay_server.py
@@ -1,4 +1,4 @@
-"""Runs a relay: links to the control instances, links of others, and redirects."""
+"""Runs a relay: links to control instances, links of other processes, redirects."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 )
 from scalebend.core.gateway.relay_instance import RelayInstance
 from scalebend.core.messages import Hello
-from scalebend.edges.gateway.http_listener import answer_metrics, listen
+from scalebend.edges.gateway.http_listener import listen, serve_metrics
 from scalebend.edges.gateway.links import (
-    HEARTBEAT,
+    HEARTBEAT_INTERVAL_S,
     Dialer,
     LinkServer,
     run_links,
@@ -35,8 +35,8 @@
 
 logger = structlog.get_logger(__name__)
 
-TICK = 0.1
-"""Seconds between two looks at links; a relay decides nothing that is urgent."""
+TICK_INTERVAL_S = 0.1
+"""Seconds between two checks of the links; a relay has no shorter timers."""
 
 
 class RelayRuntime:
@@ -45,10 +45,12 @@
     def __init__(self, settings: GatewaySettings, metrics: GatewayMetrics) -> None:
         self._settings = settings
         self._metrics = metrics
-        me = settings.instance
+        own_id = settings.instance
         seeds = [InstanceId(seed) for seed in settings.seeds]
-        self.instance = RelayInstance(me, seeds, is_first_start=settings.is_first_start)
-        introduction = Introduce(me, time.time_ns(), settings.role)
+        self.instance = RelayInstance(
+            own_id, seeds, is_first_start=settings.is_first_start
+        )
+        introduction = Introduce(own_id, time.time_ns(), settings.role)
         self.dialer = Dialer(
             introduction,
             self.instance.handle,
@@ -56,28 +58,30 @@
             self.instance.remove_link,
             metrics,
         )
-        self.server = LinkServer(self._receive, self._note_up, lambda _: None, metrics)
+        self.server = LinkServer(
+            self._receive, self._handle_link_up, lambda _: None, metrics
+        )
 
     async def run(self) -> None:
         """Run the timers until cancelled."""
         loop = asyncio.get_running_loop()
-        heartbeat_at = 0.0
+        next_heartbeat_at = 0.0
         while True:
             now = loop.time()
-            self.dialer.keep_to(self.instance.instances)
-            self.dialer.close_silent(now)
-            self.server.close_silent(now)
-            if now >= heartbeat_at:
-                heartbeat_at = now + HEARTBEAT
+            self.dialer.set_targets(self.instance.instances)
+            self.dialer.close_unresponsive(now)
+            self.server.close_unresponsive(now)
+            if now >= next_heartbeat_at:
+                next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
                 self.dialer.send_to_all(Heartbeat())
-                self.server.send_to_all(self._build_known())
-            await asyncio.sleep(TICK)
+                self.server.send_to_all(self._build_known_instances())
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _build_known(self) -> KnownInstances:
+    def _build_known_instances(self) -> KnownInstances:
         return KnownInstances(self.instance.list_members())
 
-    def _note_up(self, peer: Introduce) -> None:
-        self.server.send(peer.instance, self._build_known())
+    def _handle_link_up(self, peer: Introduce) -> None:
+        self.server.send(peer.instance, self._build_known_instances())
 
     def _receive(self, peer: Introduce, message: LinkMessage) -> None:
         if isinstance(message, Hello):
@@ -85,9 +89,9 @@
             self.server.send(peer.instance, reply)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Send a call on to a member of the control group."""
+        """Redirect a request to a member of the control group."""
         if request.method == "GET" and request.path == "/metrics":
-            return await answer_metrics(self._metrics, request)
+            return await serve_metrics(self._metrics, request)
         target = self.instance.choose_target()
         if target is None:
             error = RefusedError("no member is known", kind=ErrorKind.NO_QUORUM)
@@ -105,7 +109,7 @@
         address = settings.link_listen or settings.link_address
         links = run_links(address, runtime.server, runtime.dialer, runtime.run())
         await stack.enter_async_context(links)
-        await stack.enter_async_context(watch.tell(runtime.instance.set_seeds))
+        await stack.enter_async_context(watch.watch_seeds(runtime.instance.set_seeds))
         sock = Listeners().take(settings.control_address)
         await stack.enter_async_context(listen(sock, runtime.handle))
         logger.info("relay listens", instance=settings.name)
--- a/src/scalebend/edges/gateway/settings_watch.py
+++ b/src/scalebend/edges/gateway/settings_watch.py
@@ -1,7 +1,7 @@
-"""Reads the settings file again when it changes, or when a signal says so.
+"""Reloads the settings file when it changes or on a signal.
 
-Only the addresses of control instances take effect in a running process; for the
-others the log says that they wait for the next start.
+Only the addresses of control instances take effect in a running process; other changed
+settings are logged and need a restart.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 logger = structlog.get_logger(__name__)
 
-PERIOD = 1.0
-"""Seconds between two looks at the file: half of what a configuration may take."""
+CHECK_INTERVAL_S = 1.0
+"""Seconds between two checks of the file, half the time limit of a change."""
 
 OnSeeds = Callable[[list[InstanceId]], None]
 
@@ -32,16 +32,16 @@
     def __init__(self, path: Path, settings: GatewaySettings) -> None:
         self._path = path
         self._settings = settings
-        self._changed = asyncio.Event()
-        self._modified_at = _read_modification(path)
+        self._reload_requested = asyncio.Event()
+        self._modified_at_ns = _read_modified_at_ns(path)
 
-    def note_signal(self) -> None:
-        """Read the file again at once, changed or not."""
-        self._changed.set()
+    def request_reload(self) -> None:
+        """Reload the file at once, even if unchanged."""
+        self._reload_requested.set()
 
     @contextlib.asynccontextmanager
-    async def tell(self, on_seeds: OnSeeds) -> AsyncIterator[None]:
-        """Call ``on_seeds`` at each change of the file until the block ends."""
+    async def watch_seeds(self, on_seeds: OnSeeds) -> AsyncIterator[None]:
+        """Call ``on_seeds`` at each reload of the file until the block ends."""
         task = asyncio.create_task(self._run(on_seeds))
         try:
             yield
@@ -52,13 +52,13 @@
     async def _run(self, on_seeds: OnSeeds) -> None:
         while True:
             try:
-                async with asyncio.timeout(PERIOD):
-                    await self._changed.wait()
+                async with asyncio.timeout(CHECK_INTERVAL_S):
+                    await self._reload_requested.wait()
             except TimeoutError:
-                if _read_modification(self._path) == self._modified_at:
+                if _read_modified_at_ns(self._path) == self._modified_at_ns:
                     continue
-            self._changed.clear()
-            self._modified_at = _read_modification(self._path)
+            self._reload_requested.clear()
+            self._modified_at_ns = _read_modified_at_ns(self._path)
             self._reload(on_seeds)
 
     def _reload(self, on_seeds: OnSeeds) -> None:
@@ -77,10 +77,10 @@
         on_seeds([InstanceId(seed) for seed in read.seeds])
 
 
-def _read_modification(path: Path) -> int | None:
-    """When the file was last written, in nanoseconds; ``None`` when there is none."""
+def _read_modified_at_ns(path: Path) -> int | None:
+    """Return the file's modification time in ns; ``None`` if it is missing."""
     try:
         return path.stat().st_mtime_ns
     except OSError:
-        # It is being replaced: the next look finds it.
+        # The file is being replaced: the next check finds it.
         return None
--- a/src/scalebend/edges/gateway/sockets.py
+++ b/src/scalebend/edges/gateway/sockets.py
@@ -1,7 +1,7 @@
 """Listening sockets, opened before the libraries that serve them are loaded.
 
-Loading them takes a third of a second. Callers that connect meanwhile wait in the
-socket's queue; without it, they would be told that nobody listens.
+Callers that connect while the libraries load wait in the socket's backlog; without it,
+their connections would be refused.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
     from scalebend.models.gateway_settings import GatewaySettings
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted: those of some seconds of a busy front."""
+"""Connections that may wait to be accepted: some seconds of a busy front."""
 
 
 class Listeners:
-    """Sockets that listen already, by address."""
+    """Listening sockets by address."""
 
     def __init__(self) -> None:
         self._sockets: dict[str, socket.socket] = {}
 
     def open(self, address: str) -> None:
-        """Listen at ``address``, once."""
+        """Listen at ``address`` unless a socket already does."""
         if address not in self._sockets:
             self._sockets[address] = _listen(address)
 
     def try_open(self, address: str) -> None:
-        """Listen at ``address`` if that is possible; :meth:`open` tells why not."""
+        """Listen at ``address`` if possible; :meth:`open` raises the error later."""
         with contextlib.suppress(OSError, ValueError):
             self.open(address)
 
     def take(self, address: str) -> socket.socket:
-        """Return the socket of ``address`` to whoever serves and closes it."""
+        """Return the socket of ``address``, opened if needed; the caller closes it."""
         self.open(address)
         return self._sockets.pop(address)
 
@@ -52,7 +52,7 @@
 
 
 def open_listeners(settings: GatewaySettings, listeners: Listeners) -> Listeners:
-    """Listen at the addresses of callers; others find this process by asking again."""
+    """Listen at the address of callers; processes retry, so theirs can open later."""
     if settings.callers_address is not None:
         listeners.open(settings.callers_address)
     return listeners
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -275,7 +275,9 @@
         if e.upstream != late_reply.message.placement.upstream
     ]
     own_placement = front.scheduler.place(work, others, PROFILE, deployment.now)
-    for action in front.open_job(work, own_placement, deployment.now, is_uncoordinated=True):
+    for action in front.open_job(
+        work, own_placement, deployment.now, is_uncoordinated=True
+    ):
         deployment.leader.handle_front(name, action.message, deployment.now)
     busy = deployment.leader.scheduler.list_busy(deployment.now, 5)
     assert [one.upstream for one in busy] == [own_placement.upstream]
--- a/tests/unit/gateway/test_http_loading.py
+++ b/tests/unit/gateway/test_http_loading.py
@@ -6,7 +6,7 @@
 import pytest
 
 from scalebend.edges.gateway import http_loading
-from scalebend.edges.gateway.http_loading import load_http, load_in_turns
+from scalebend.edges.gateway.http_loading import import_in_steps, load_http
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
             await asyncio.sleep(0)
 
     task = asyncio.create_task(count())
-    await load_in_turns(modules)
+    await import_in_steps(modules)
     task.cancel()
     assert {1, 2, 3, 4} <= set(turns)
 
@@ -57,4 +57,4 @@
 
 async def test_missing_module_is_an_error():
     with pytest.raises(ModuleNotFoundError):
-        await load_in_turns(["no_such_module_anywhere"])
+        await import_in_steps(["no_such_module_anywhere"])
--- a/tests/unit/gateway/test_links.py
+++ b/tests/unit/gateway/test_links.py
@@ -4,7 +4,7 @@
 
 from scalebend.core.gateway.messages import Heartbeat, Introduce, KnownInstances
 from scalebend.edges.gateway.links import (
-    SILENCE,
+    LINK_TIMEOUT_S,
     Dialer,
     Link,
     LinkServer,
@@ -73,10 +73,10 @@
     await wait_for(lambda: up, 5.0)
     server.send(ME.instance, Heartbeat())
     # The connection stands; nothing comes over it any more.
-    dialer.close_silent(loop.time() + SILENCE / 2)
+    dialer.close_unresponsive(loop.time() + LINK_TIMEOUT_S / 2)
     await asyncio.sleep(0.05)
     assert not down
-    dialer.close_silent(loop.time() + SILENCE + 0.1)
+    dialer.close_unresponsive(loop.time() + LINK_TIMEOUT_S + 0.1)
     await wait_for(lambda: len(up) == 2, 5.0)
     assert len(down) == 1
     await dialer.close()
@@ -109,7 +109,7 @@
 
 
 async def test_frame_that_grows_beyond_the_limit_is_refused(monkeypatch):
-    monkeypatch.setattr("scalebend.edges.gateway.links.LARGEST_FRAME", 3_000)
+    monkeypatch.setattr("scalebend.edges.gateway.links.MAX_FRAME_BYTES", 3_000)
     long = KnownInstances([f"10.1.0.{number}:7000" for number in range(300)])
     taken, _ = take_frames(_build_frame(long))
     assert taken == []
--- a/tests/unit/gateway/test_settings_watch.py
+++ b/tests/unit/gateway/test_settings_watch.py
@@ -37,7 +37,7 @@
 async def test_changed_file_is_read_without_a_signal(path):
     told = []
     watch = SettingsWatch(path, read_gateway_settings(path))
-    async with watch.tell(told.append):
+    async with watch.watch_seeds(told.append):
         await asyncio.sleep(0.1)
         assert told == []
         write_seeds(path, "10.0.0.9:7340")
@@ -48,16 +48,16 @@
     monkeypatch.setattr(settings_watch, "PERIOD", 60.0)
     told = []
     watch = SettingsWatch(path, read_gateway_settings(path))
-    async with watch.tell(told.append):
+    async with watch.watch_seeds(told.append):
         write_seeds(path, "10.0.0.9:7340")
-        watch.note_signal()
+        watch.request_reload()
         await wait_for(lambda: told == [["10.0.0.9:7340"]])
 
 
 async def test_broken_file_changes_nothing(path):
     told = []
     watch = SettingsWatch(path, read_gateway_settings(path))
-    async with watch.tell(told.append):
+    async with watch.watch_seeds(told.append):
         path.write_text("{")
         await asyncio.sleep(0.1)
         path.unlink()
