--- a/tests/functional/test_crashing_engines.py
+++ b/tests/functional/test_crashing_engines.py
@@ -1,7 +1,6 @@
-"""A request that ends each engine that begins it, over the project's own interface.
+"""A request that crashes every engine that starts it, over the cluster's own API.
 
-The same cause as over the users' platform: an entry knew what an attempt had done to an
-engine only until its request was concluded, so each arrival got all tries.
+Guards against a repeated request that gets all its attempts on each arrival.
 """
 
 import asyncio
@@ -11,13 +10,13 @@
 from tests.lib.fleet import run_fleet
 
 POISON = "a prompt that no engine survives"
-MOST_ENDED = 3
+MAX_CRASHES = 3
 
 
 async def send(fleet, prompt):
-    async with fleet.complete(prompt) as answer:
-        body = await answer.read()
-    return answer, body
+    async with fleet.complete(prompt) as response:
+        body = await response.read()
+    return response, body
 
 
 async def test_request_that_ends_engines_reaches_few_of_them():
@@ -25,12 +24,12 @@
         for engine in fleet.engines:
             engine.ends_on = POISON.encode()
         for _ in range(4):
-            answer, body = await send(fleet, POISON)
+            response, body = await send(fleet, POISON)
             await asyncio.sleep(0.3)
-        assert sum(engine.ends for engine in fleet.engines) <= MOST_ENDED
+        assert sum(engine.ends for engine in fleet.engines) <= MAX_CRASHES
         problem = msgspec.json.decode(body)
-        assert (answer.status, problem["ran"]) == (503, "no")
+        assert (response.status, problem["ran"]) == (503, "no")
         assert problem["type"] == "ends-upstreams"
-        assert int(answer.headers["Retry-After"]) > 0
-        answer, _ = await send(fleet, "another prompt")
-        assert answer.status == 200
+        assert int(response.headers["Retry-After"]) > 0
+        response, _ = await send(fleet, "another prompt")
+        assert response.status == 200
--- a/tests/functional/test_crashing_requests.py
+++ b/tests/functional/test_crashing_requests.py
@@ -1,12 +1,7 @@
-"""A request that ends each replica that begins it, sent again and again.
-
-Seen: engines of a service ended one after the other, in volleys of four within a
-second, for as long as one caller sent the same request again: 54 ends at 18 addresses
-in 80 seconds. Every arrival was treated as a request that nobody had met before: a
-front knew what an attempt had done to a replica only until it had answered, and no
-other front knew it at all; the blame went to the replicas, which were ejected one by
-one. Proved by the logs: two sends for each arrival, at all fronts, none of them beyond
-what its route and the budget of retries allow.
+"""A repeated request that crashes every replica that starts it is quarantined.
+
+Guards against fronts that forget crashes between arrivals of the same request, or do
+not share them, so that one caller crashes the replicas of a service one by one.
 """
 
 import asyncio
@@ -20,20 +15,20 @@
 
 POISON = b"a prompt that no engine survives"
 
-MOST_ENDED = 3
-"""Replicas that one request may end before everybody knows it."""
+MAX_CRASHES = 3
+"""Replicas that one request may crash before it is quarantined at all fronts."""
 
-DOWN = 0.8
-"""Seconds until a replica that ended is back, under another name."""
+RESTART_DELAY_S = 0.8
+"""Seconds until a crashed replica is back under another name."""
 
 
 class FragileReplica(Replica):
-    """Ends when it begins to run a certain request; all it runs ends with it."""
+    """Crashes when it starts a certain request, and aborts all others it runs."""
 
     def __init__(self, number, service, controls):
         super().__init__(number, service, controls)
-        self.open = set()
-        self.lives = 0
+        self.open_transports = set()
+        self.restarts = 0
         self.is_up = True
         self.tasks = set()
 
@@ -42,29 +37,29 @@
             request.transport.abort()
             return web.Response()
         body = await request.read()
-        self.open.add(request.transport)
+        self.open_transports.add(request.transport)
         if body == POISON:
             self.ran.append((request, body))
             await asyncio.sleep(0.03)
-            self.end()
+            self.crash()
             return web.Response()
-        answer = await super().handle(request)
-        self.open.discard(request.transport)
-        return answer
+        response = await super().handle(request)
+        self.open_transports.discard(request.transport)
+        return response
 
-    def end(self):
+    def crash(self):
         self.is_up = False
-        for transport in self.open:
+        for transport in self.open_transports:
             transport.abort()
-        self.open.clear()
-        task = asyncio.create_task(self.come_back())
+        self.open_transports.clear()
+        task = asyncio.create_task(self.restart())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def come_back(self):
-        await asyncio.sleep(DOWN)
-        self.lives += 1
-        self.id = f"{self.id.partition('-of-')[0]}-of-{self.lives}"
+    async def restart(self):
+        await asyncio.sleep(RESTART_DELAY_S)
+        self.restarts += 1
+        self.id = f"{self.id.partition('-of-')[0]}-of-{self.restarts}"
         self.sequence = 0
         self.is_up = True
         async with aiohttp.ClientSession() as session:
@@ -77,12 +72,12 @@
         yield system
 
 
-def count_ended(system):
+def count_crashes(system):
     return sum(body == POISON for replica in system.replicas for _, body in replica.ran)
 
 
 async def send_poison(system, times, kind="idempotent"):
-    """Send it again and again, to one front after the other."""
+    """Send the request repeatedly, to the fronts in turn."""
     statuses = []
     for number in range(times):
         status, _, _ = await system.call(kind, front=number % 2, body=POISON)
@@ -94,19 +89,19 @@
 async def test_request_that_ends_replicas_reaches_few_of_them(system):
     for kind in ("idempotent", "non_idempotent", "stream"):
         statuses = await send_poison(system, 8, kind)
-        assert count_ended(system) <= MOST_ENDED
+        assert count_crashes(system) <= MAX_CRASHES
         assert statuses[-1] == 503
-        # The others are served as before.
-        await asyncio.sleep(DOWN)
+        # Other requests are still served.
+        await asyncio.sleep(RESTART_DELAY_S)
         for front in (0, 1):
             assert (await system.call(kind, front=front))[0] == 200
         for replica in system.replicas:
             replica.ran.clear()
 
 
-async def test_other_requests_of_the_caller_are_not_taken_for_it(system):
+async def test_other_requests_are_not_quarantined(system):
     await send_poison(system, 4)
-    await asyncio.sleep(DOWN)
+    await asyncio.sleep(RESTART_DELAY_S)
     for number in range(10):
         status, _, _ = await system.call("idempotent", body=b"another %d" % number)
         assert status == 200
@@ -122,9 +117,9 @@
     await system.wait_served()
 
 
-async def assert_held(system):
-    """It is refused by both fronts, which is not the cause of any replica's end."""
-    ended = count_ended(system)
+async def assert_quarantined(system):
+    """Check that both fronts refuse the request and no replica crashes."""
+    crashes = count_crashes(system)
     for front in (0, 1):
         status, body, headers = await system.call(
             "idempotent", front=front, body=POISON
@@ -133,23 +128,23 @@
         assert b'"type":"ends-upstreams"' in body
         assert b'"ran":"no"' in body
         assert float(headers["Retry-After"]) > 0.0
-    assert count_ended(system) == ended
+    assert count_crashes(system) == crashes
 
 
-async def test_request_stays_held_when_the_leader_or_a_front_starts_again(system):
+async def test_quarantine_survives_a_restart_of_the_leader_or_a_front(system):
     await send_poison(system, 4)
-    await asyncio.sleep(DOWN)
-    await assert_held(system)
+    await asyncio.sleep(RESTART_DELAY_S)
+    await assert_quarantined(system)
     await restart(system, [system.processes.find_leader()])
-    await assert_held(system)
+    await assert_quarantined(system)
     await restart(system, ["front-0"])
-    await assert_held(system)
+    await assert_quarantined(system)
     await restart(system, system.processes.names[:3])
-    await assert_held(system)
+    await assert_quarantined(system)
 
 
 async def test_request_stays_held_when_all_processes_start_again(system):
     await send_poison(system, 4)
-    await asyncio.sleep(DOWN)
+    await asyncio.sleep(RESTART_DELAY_S)
     await restart(system, system.processes.started)
-    await assert_held(system)
+    await assert_quarantined(system)
--- a/tests/functional/test_keys.py
+++ b/tests/functional/test_keys.py
@@ -1,4 +1,4 @@
-"""Certificates and keys: towards callers and upstreams, and between instances."""
+"""TLS certificates and API keys of callers, upstreams, operators and instances."""
 
 import asyncio
 import contextlib
@@ -40,21 +40,21 @@
 
 
 async def test_callers_and_upstreams_over_tls(tmp_path, authority):
-    mine = write_certificate(tmp_path, authority, "mine")
-    server_only = Tls(mine.certificate, mine.key)
+    own = write_certificate(tmp_path, authority, "mine")
+    server_only = Tls(own.certificate, own.key)
     client = ssl.create_default_context()
     authority.configure_trust(client)
     async with run_fleet(
-        0, tls=client, has_service=False, caller_tls=server_only, upstream_tls=mine
+        0, tls=client, has_service=False, caller_tls=server_only, upstream_tls=own
     ) as fleet:
         options = EngineOptions("secure", ZONE, [LoadedModel(MODEL)], time_scale=0.1)
-        server = build_server_context(mine)
+        server = build_server_context(own)
         async with serve_engine(options, [], context=server) as engine:
             body = msgspec.json.encode(engine.build_announcement())
-            async with fleet.post(body, "/upstreams/announce") as answer:
-                assert answer.status == 202
-            async with fleet.complete("over tls") as answer:
-                events = await answer.read()
+            async with fleet.post(body, "/upstreams/announce") as response:
+                assert response.status == 202
+            async with fleet.complete("over tls") as response:
+                events = await response.read()
         assert read_text(events) == build_answer("over tls", 4)
         plain = fleet.url.replace("https", "http")
         with pytest.raises(aiohttp.ClientError):
@@ -90,7 +90,7 @@
     assert received == [("one", FetchCatalog())]
 
 
-async def test_instance_of_another_authority_is_not_heard(tmp_path, authority):
+async def test_instance_of_another_authority_is_rejected(tmp_path, authority):
     stranger = write_certificate(tmp_path, trustme.CA(), "stranger")
     second = write_certificate(tmp_path, authority, "two")
     async with open_pair(stranger, second) as (one, address, received):
@@ -118,44 +118,44 @@
     assert received == [datagram]
 
 
-async def test_operators_key_is_needed_once_one_is_set():
+async def test_operator_key_is_required_once_set():
     async with run_fleet(operator_key_hashes=[hash_key("operator")]) as fleet:
         url = f"{fleet.url}/admin/status"
-        async with fleet.session.get(url) as answer:
-            assert answer.status == 401
+        async with fleet.session.get(url) as response:
+            assert response.status == 401
         headers = {"Authorization": "Bearer operator"}
-        async with fleet.session.get(url, headers=headers) as answer:
-            assert (await answer.json())["is_ready"]
+        async with fleet.session.get(url, headers=headers) as response:
+            assert (await response.json())["is_ready"]
 
 
-async def test_upstream_key_is_needed_once_one_is_set():
+async def test_upstream_key_is_required_once_set():
     async with run_fleet(
         0, has_service=False, upstream_key_hashes=[hash_key("engine")]
     ) as fleet:
-        async with fleet.post(b"{}", "/upstreams/announce", key="x") as answer:
-            assert answer.status == 401
-        async with fleet.post(b"{}", "/upstreams/announce", key="engine") as answer:
-            assert answer.status == 400
+        async with fleet.post(b"{}", "/upstreams/announce", key="x") as response:
+            assert response.status == 401
+        async with fleet.post(b"{}", "/upstreams/announce", key="engine") as response:
+            assert response.status == 400
 
 
-async def test_customers_key_is_rotated_with_both_valid_for_a_while(capfd):
+async def test_old_and_new_customer_key_are_valid_during_rotation(capfd):
     async with run_fleet() as fleet:
         both = Customer("keepers", [hash_key("keepers"), hash_key("new-key")])
         document = msgspec.structs.replace(CONFIGURATION, customers=[both])
         assert (await apply_configuration(fleet, document, 1, "both"))[0] == 200
         for key in ("keepers", "new-key"):
-            async with fleet.complete("x", key=key) as answer:
-                assert answer.status == 200
+            async with fleet.complete("x", key=key) as response:
+                assert response.status == 200
         only_new = Customer("keepers", [hash_key("new-key")])
         document = msgspec.structs.replace(CONFIGURATION, customers=[only_new])
         assert (await apply_configuration(fleet, document, 2, "new"))[0] == 200
-        async with fleet.complete("x", key="keepers") as answer:
-            assert answer.status == 401
+        async with fleet.complete("x", key="keepers") as response:
+            assert response.status == 401
     captured = capfd.readouterr()
     assert "new-key" not in captured.out + captured.err
     assert json.dumps(hash_key("new-key")) not in captured.out + captured.err
 
 
-def test_client_context_shows_a_certificate(tmp_path, authority):
+def test_client_context_verifies_certificates(tmp_path, authority):
     context = build_client_context(write_certificate(tmp_path, authority, "c"))
     assert context.verify_mode is ssl.CERT_REQUIRED
--- a/tests/lib/platform_processes.py
+++ b/tests/lib/platform_processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes on loopback addresses, started and ended by id."""
+"""Runs gateway processes on loopback addresses."""
 
 import contextlib
 import json
@@ -14,7 +14,7 @@
 
 
 class Processes:
-    """A small deployment: each process has a loopback address of its own."""
+    """A small deployment in which each process has its own loopback address."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -25,7 +25,7 @@
         self.starts = {}
         self.names = [f"control-{n}" for n in range(CONTROLS)]
         self.names += [f"front-{n}" for n in range(FRONTS)]
-        # Started by the tests that need them: a relay has no disk, and another front.
+        # Not started by default: a relay (no data folder) and another front.
         self.names += ["relay-0", "front-9"]
         self.started = self.names[: CONTROLS + FRONTS]
         self.seeds = {}
@@ -95,7 +95,7 @@
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def find_leader(self):
-        """The control instance that last said that it leads."""
+        """Return the control instance that logged last that it leads."""
         leaders = []
         for name in self.names[:CONTROLS]:
             if name not in self.running:
@@ -108,7 +108,7 @@
 
 @contextlib.contextmanager
 def run_processes(folder):
-    """Start a deployment; end what of it still runs."""
+    """Start a deployment; kill the remaining processes at the end."""
     processes = Processes(folder)
     for name in processes.started:
         processes.start(name)
--- a/tests/lib/platform_replicas.py
+++ b/tests/lib/platform_replicas.py
@@ -1,4 +1,4 @@
-"""Stand-in replicas of the users' platform, by its published protocol."""
+"""Stand-in replicas that follow the published protocol of the users' platform."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 
 class Replica:
-    """One replica: answers, keeps what it ran, and registers itself."""
+    """One replica: serves requests, records those it ran, and registers itself."""
 
     def __init__(self, number, service, controls):
         self.id = f"i-{number}"
@@ -25,7 +25,7 @@
         self.transports = set()
         self.muted = set()
         self.mode = "answer"
-        self.event_pause = 0.02
+        self.event_interval_s = 0.02
         self.sequence = 0
         self.gate = asyncio.Event()
         self.gate.set()
@@ -44,7 +44,7 @@
             return web.Response(status=503, headers={"X-Not-Executed": "true"})
         self.transports.add(request.transport)
         if request.transport in self.muted:
-            # The connection stands, and nothing comes over it any more.
+            # The connection stays open without any response.
             await asyncio.Event().wait()
         self.ran.append((request, body))
         echo = {
@@ -67,20 +67,20 @@
         return web.Response(headers=echo, body=b"done by " + self.id.encode())
 
     async def stream(self, request, echo):
-        answer = web.StreamResponse(headers=echo)
-        answer.content_type = "text/event-stream"
-        await answer.prepare(request)
+        response = web.StreamResponse(headers=echo)
+        response.content_type = "text/event-stream"
+        await response.prepare(request)
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         for number in range(first, EVENTS + 1):
             await self.gate.wait()
-            await answer.write(f"id: {number}\ndata: {number}\n\n".encode())
+            await response.write(f"id: {number}\ndata: {number}\n\n".encode())
             if self.mode == "break" and number == 2:
-                await answer.write(b"id: 3\nda")
+                await response.write(b"id: 3\nda")
                 request.transport.abort()
-                return answer
-            await asyncio.sleep(self.event_pause)
-        await answer.write_eof()
-        return answer
+                return response
+            await asyncio.sleep(self.event_interval_s)
+        await response.write_eof()
+        return response
 
     async def register(self, session, state="ready"):
         self.sequence += 1
@@ -96,7 +96,7 @@
         }
         await self.call_control(session, "PUT", document)
 
-    async def leave(self, session):
+    async def deregister(self, session):
         await self.call_control(session, "DELETE", None)
 
     async def call_control(self, session, method, document):
@@ -106,15 +106,15 @@
                 timeout = aiohttp.ClientTimeout(total=1.0)
                 async with session.request(
                     method, url, json=document, timeout=timeout
-                ) as answer:
-                    if answer.status == 200:
+                ) as response:
+                    if response.status == 200:
                         return
-        raise AssertionError("no control instance took the registration")
+        raise AssertionError("no control instance accepted the registration")
 
 
 @contextlib.asynccontextmanager
 async def run_replica(number, service, controls, session, build=Replica):
-    """Serve a replica and register it."""
+    """Serve and register a replica until the block ends."""
     replica = build(number, service, controls)
     runner = web.ServerRunner(web.Server(replica.handle, handler_cancellation=True))
     await runner.setup()
@@ -130,7 +130,7 @@
 
 
 def build_document(version, services, keys=("key-1",), **route_changes):
-    """A configuration document as the platform's operators send it."""
+    """Return a configuration document as the platform's operators send it."""
     routes = []
     for service in services:
         for kind, extra in (
--- a/tests/unit/gateway/test_foreign_messages.py
+++ b/tests/unit/gateway/test_foreign_messages.py
@@ -1,4 +1,4 @@
-"""Other programs may write where upstreams do: what is not valid changes nothing."""
+"""Invalid registrations and reports of other programs change nothing."""
 
 import json
 
@@ -79,7 +79,7 @@
     return json.dumps({**VALID, **changes}).encode()
 
 
-def test_valid_message_is_taken():
+def test_valid_registration_is_decoded():
     endpoint = decode_registration("i-1", encode())
     assert (endpoint.name, endpoint.born) == ("i-1", VALID["born"])
     assert (endpoint.slots, endpoint.sequence, endpoint.is_draining) == (8, 4, False)
@@ -87,28 +87,28 @@
 
 
 @pytest.mark.parametrize("name", REQUIRED)
-def test_message_without_a_field_is_refused(name):
+def test_registration_without_a_field_is_rejected(name):
     body = {key: value for key, value in VALID.items() if key != name}
     with pytest.raises(DocumentError):
         decode_registration("i-1", json.dumps(body).encode())
 
 
 @pytest.mark.parametrize(("name", "value"), BAD_VALUES)
-def test_message_with_a_wrong_field_is_refused(name, value):
+def test_registration_with_an_invalid_field_is_rejected(name, value):
     with pytest.raises(DocumentError) as caught:
         decode_registration("i-1", encode(**{name: value}))
     assert caught.value.answer.status == 400
 
 
 @pytest.mark.parametrize("name", ["", "a/b", "i-1~19af", "a b", "a\n", "x" * 300])
-def test_name_that_no_upstream_has_is_refused(name):
+def test_invalid_upstream_name_is_rejected(name):
     with pytest.raises(DocumentError):
         decode_registration(name, encode())
     with pytest.raises(DocumentError):
         decode_deregistration(name, b"")
 
 
-def test_departure_names_an_incarnation_or_none():
+def test_deregistration_names_an_incarnation_or_none():
     assert decode_deregistration("i-1", b"") == Departure("i-1", None)
     assert decode_deregistration("i-1", b"{}") == Departure("i-1", None)
     assert decode_deregistration("i-1", b'{"born": 7}') == Departure("i-1", 7)
@@ -131,88 +131,88 @@
         b'{"pace": 2.0, "Waiting": 1, "Running": 1, "born": "x"}',
     ],
 )
-def test_report_that_is_none(data):
+def test_invalid_report_is_ignored(data):
     assert decode_report(data) is None
 
 
 @pytest.mark.parametrize(
     "text", ["", "1,2", "1,2,3,4", "a,b,c", "-1,0,8", "1,2,0", "1, 2,8", "9999999,0,8"]
 )
-def test_load_that_is_none(text):
+def test_invalid_load_is_ignored(text):
     assert read_answer_headers(200, {"X-Server-Load": text}).load is None
 
 
 @pytest.mark.parametrize(
     "text", ["", "-1", "1e3", "nan", "inf", "1,5", " 2", "2 ", "+2", "x", "9" * 10]
 )
-def test_limit_that_is_none(text):
+def test_invalid_rate_limit_is_ignored(text):
     assert read_answer_headers(200, {"Server-Limit": text}).request_limit is None
 
 
 @pytest.mark.parametrize(
     "text", ["", "-1", "1e3", "nan", "9" * 10, "Wed, 21 Oct 2026 07:28:00 GMT"]
 )
-def test_backoff_that_is_none(text):
+def test_invalid_backoff_is_unreadable(text):
     read = read_answer_headers(503, {"Retry-After": text})
     assert read.backoff is None
     assert read.has_unreadable_backoff
 
 
-def build_control():
-    """A leader that knows its service, and one healthy upstream of it."""
-    single = SingleMemberGroup()
-    single.run(3.0)
-    single.put(build_routing(1))
+def build_leader():
+    """Return a group with a leader, a service and one healthy upstream."""
+    group = SingleMemberGroup()
+    group.run(3.0)
+    group.put(build_routing(1))
     endpoint = decode_registration("i-1", encode())
-    single.instance.register(endpoint, single.now)
-    return single
+    group.instance.register(endpoint, group.now)
+    return group
 
 
-def send(single, name, data):
-    """As the call would: decode and register; refusals are told to the caller."""
+def send(group, name, data):
+    """Decode and register as the HTTP handler does; return no actions if rejected."""
     try:
         endpoint = decode_registration(name, data)
-        return single.instance.register(endpoint, single.now)
+        return group.instance.register(endpoint, group.now)
     except (DocumentError, RequestError):
         return []
 
 
-def list_fleet(single):
-    return single.instance.directory.list_usable(SERVICE)
+def list_usable_upstreams(group):
+    return group.instance.directory.list_usable(SERVICE)
 
 
-def test_service_that_no_document_names_is_refused():
-    single = build_control()
-    before = list_fleet(single)
+def test_registration_for_an_unknown_service_is_rejected():
+    group = build_leader()
+    before = list_usable_upstreams(group)
     for name, address in (("i-1", "10.1.64.1:8000"), ("i-9", "10.1.64.1:8000")):
         endpoint = decode_registration(name, encode(Service="none", Address=address))
         with pytest.raises(RequestError) as caught:
-            single.instance.register(endpoint, single.now)
+            group.instance.register(endpoint, group.now)
         assert caught.value.kind is ErrorKind.UNKNOWN_SERVICE
-    assert list_fleet(single) == before
+    assert list_usable_upstreams(group) == before
 
 
-def test_upstream_whose_service_was_taken_out_can_still_leave():
-    single = build_control()
-    single.put(build_routing(2, routes=[], services=[]))
-    drains = decode_registration("i-1", encode(State="draining", Seq=5))
-    single.instance.register(drains, single.now)
-    assert not list_fleet(single)
+def test_upstream_of_a_removed_service_can_still_drain():
+    group = build_leader()
+    group.put(build_routing(2, routes=[], services=[]))
+    draining = decode_registration("i-1", encode(State="draining", Seq=5))
+    group.instance.register(draining, group.now)
+    assert not list_usable_upstreams(group)
 
 
 @given(st.sampled_from(sorted(VALID)), JSON_VALUES)
-def test_healthy_fleet_stays_whatever_a_field_holds(name, value):
-    single = build_control()
-    before = list_fleet(single)
-    send(single, "i-1", encode(**{name: value}))
-    after = list_fleet(single)
+def test_invalid_field_values_change_nothing(name, value):
+    group = build_leader()
+    before = list_usable_upstreams(group)
+    send(group, "i-1", encode(**{name: value}))
+    after = list_usable_upstreams(group)
     if not is_valid_change(name, value):
         assert after == before
     assert all(isinstance(e.slots, int) and 0 < e.slots <= MOST_SLOTS for e in after)
 
 
 def is_valid_change(name, value):
-    """Whether a true upstream could send this value."""
+    """Return whether the registration is valid with this value."""
     try:
         decode_registration("i-1", encode(**{name: value}))
     except DocumentError:
@@ -221,16 +221,16 @@
 
 
 @given(st.binary(), st.integers(0, len(encode())), st.integers(0, 255))
-def test_bytes_that_are_no_message_change_nothing(data, position, byte):
-    single = build_control()
-    before = list_fleet(single)
-    assert send(single, "i-1", data) == []
+def test_malformed_messages_change_nothing(data, position, byte):
+    group = build_leader()
+    before = list_usable_upstreams(group)
+    assert send(group, "i-1", data) == []
     if position < len(encode()):
-        assert send(single, "i-1", encode()[:position]) == []
+        assert send(group, "i-1", encode()[:position]) == []
     damaged = bytearray(encode())
     damaged[min(position, len(damaged) - 1)] = byte
     try:
         decode_registration("i-2", bytes(damaged))
     except DocumentError:
-        assert send(single, "i-2", bytes(damaged)) == []
-        assert list_fleet(single) == before
+        assert send(group, "i-2", bytes(damaged)) == []
+        assert list_usable_upstreams(group) == before
--- a/tests/unit/gateway/test_http_loading.py
+++ b/tests/unit/gateway/test_http_loading.py
@@ -1,4 +1,4 @@
-"""Loading modules leaves the event loop its turns."""
+"""The event loop keeps running while the HTTP libraries load."""
 
 import asyncio
 import sys
@@ -20,21 +20,21 @@
         sys.modules.pop(name, None)
 
 
-async def test_others_run_between_two_modules(modules):
-    turns = []
+async def test_event_loop_runs_between_two_imports(modules):
+    import_counts = []
 
-    async def count():
+    async def count_imports():
         while True:
-            turns.append(len([name for name in modules if name in sys.modules]))
+            import_counts.append(len([name for name in modules if name in sys.modules]))
             await asyncio.sleep(0)
 
-    task = asyncio.create_task(count())
+    task = asyncio.create_task(count_imports())
     await import_in_steps(modules)
     task.cancel()
-    assert {1, 2, 3, 4} <= set(turns)
+    assert {1, 2, 3, 4} <= set(import_counts)
 
 
-async def test_large_libraries_wait_a_little_for_the_links(modules, monkeypatch):
+async def test_large_libraries_load_after_the_links_settle(modules, monkeypatch):
     monkeypatch.setattr(http_loading, "SMALL_LIBRARIES", modules[:1])
     monkeypatch.setattr(http_loading, "LARGE_LIBRARIES", modules[1:3])
     seen = []
@@ -48,7 +48,7 @@
     assert seen == [False, False, False]
 
 
-async def test_links_that_do_not_come_up_hold_nothing_up(modules, monkeypatch):
+async def test_wait_for_links_is_limited(modules, monkeypatch):
     monkeypatch.setattr(http_loading, "SMALL_LIBRARIES", [])
     monkeypatch.setattr(http_loading, "LARGE_LIBRARIES", [])
     async with asyncio.timeout(1.0):
--- a/tests/unit/gateway/test_links.py
+++ b/tests/unit/gateway/test_links.py
@@ -1,4 +1,4 @@
-"""Links: a first packet that is lost, and a peer that falls silent for good."""
+"""Links: lost first packets, unresponsive peers, frame compression and caching."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from scalebend.models.gateway_settings import GatewayRole
 from scalebend.standins.ports import find_free_ports
 
-ME = Introduce("front-127.0.0.9:7340", 1, GatewayRole.FRONT)
+INTRODUCTION = Introduce("front-127.0.0.9:7340", 1, GatewayRole.FRONT)
 
 
 async def listen(server):
@@ -26,7 +26,9 @@
 
 
 def build_dialer(up, down):
-    return Dialer(ME, lambda *_: None, up.append, down.append, GatewayMetrics())
+    return Dialer(
+        INTRODUCTION, lambda *_: None, up.append, down.append, GatewayMetrics()
+    )
 
 
 async def wait_for(condition, seconds):
@@ -42,26 +44,26 @@
     listener, address = await listen(server)
     loop = asyncio.get_running_loop()
     connect = loop.create_connection
-    tries = []
+    attempts = []
 
-    async def lose_first(*args, **options):
-        tries.append(loop.time())
-        if len(tries) == 1:
+    async def drop_first_attempt(*args, **options):
+        attempts.append(loop.time())
+        if len(attempts) == 1:
             await asyncio.Event().wait()
         return await connect(*args, **options)
 
-    monkeypatch.setattr(loop, "create_connection", lose_first)
+    monkeypatch.setattr(loop, "create_connection", drop_first_attempt)
     up, down = [], []
     dialer = build_dialer(up, down)
     dialer.dial(address)
     await wait_for(lambda: up, 5.0)
-    assert tries[1] - tries[0] < 0.6
+    assert attempts[1] - attempts[0] < 0.6
     await dialer.close()
     listener.close()
     server.close()
 
 
-async def test_peer_that_falls_silent_without_a_reset_is_dialled_anew():
+async def test_unresponsive_peer_is_redialled():
     server = LinkServer(
         lambda *_: None, lambda _: None, lambda _: None, GatewayMetrics()
     )
@@ -71,8 +73,8 @@
     dialer.dial(address)
     loop = asyncio.get_running_loop()
     await wait_for(lambda: up, 5.0)
-    server.send(ME.instance, Heartbeat())
-    # The connection stands; nothing comes over it any more.
+    server.send(INTRODUCTION.instance, Heartbeat())
+    # The connection stays open without further bytes.
     dialer.close_unresponsive(loop.time() + LINK_TIMEOUT_S / 2)
     await asyncio.sleep(0.05)
     assert not down
@@ -84,38 +86,38 @@
     server.close()
 
 
-def take_frames(data):
-    taken = []
-    link = Link(lambda _, message: taken.append(message), lambda _: None)
+def receive_frames(data):
+    received = []
+    link = Link(lambda _, message: received.append(message), lambda _: None)
     for start in range(0, len(data), 1000):
         link.data_received(data[start : start + 1000])
-    return taken, link
+    return received, link
 
 
-async def test_long_messages_are_compressed_on_the_way():
+async def test_long_messages_are_compressed():
     long = KnownInstances([f"10.1.0.{number}:7000" for number in range(200)])
     frame = _build_frame(long)
     assert len(frame) < 2_000
-    taken, _ = take_frames(frame + _build_frame(Heartbeat()))
-    assert taken == [long, Heartbeat()]
+    received, _ = receive_frames(frame + _build_frame(Heartbeat()))
+    assert received == [long, Heartbeat()]
 
 
-async def test_damaged_compressed_frame_ends_the_link():
+async def test_damaged_compressed_frame_closes_the_link():
     long = KnownInstances([f"10.1.0.{number}:7000" for number in range(200)])
     frame = bytearray(_build_frame(long))
     frame[20:40] = bytes(20)
-    taken, _ = take_frames(bytes(frame) + _build_frame(Heartbeat()))
-    assert taken == []
+    received, _ = receive_frames(bytes(frame) + _build_frame(Heartbeat()))
+    assert received == []
 
 
-async def test_frame_that_grows_beyond_the_limit_is_refused(monkeypatch):
+async def test_frame_above_the_limit_after_decompression_is_rejected(monkeypatch):
     monkeypatch.setattr("scalebend.edges.gateway.links.MAX_FRAME_BYTES", 3_000)
     long = KnownInstances([f"10.1.0.{number}:7000" for number in range(300)])
-    taken, _ = take_frames(_build_frame(long))
-    assert taken == []
+    received, _ = receive_frames(_build_frame(long))
+    assert received == []
 
 
-async def test_what_goes_to_all_is_encoded_once():
+async def test_broadcast_message_is_encoded_once():
     cache = _FrameCache()
     long = KnownInstances([f"10.1.0.{number}:7000" for number in range(200)])
     assert cache.build(long) is cache.build(long)
--- a/tests/unit/gateway/test_platform.py
+++ b/tests/unit/gateway/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: what the platform writes, in the project's own types."""
+"""The platform adapter decodes the platform's formats into the project's types."""
 
 import json
 
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "{}", '{"NodeName": 1}'])
-def test_unreadable_settings_are_refused(tmp_path, text):
+def test_invalid_settings_are_rejected(tmp_path, text):
     path = tmp_path / "node.json"
     path.write_text(text)
     with pytest.raises(DocumentError) as caught:
@@ -89,14 +89,14 @@
     assert routing.needs_key
 
 
-def test_document_cut_short_is_refused():
+def test_truncated_document_is_rejected():
     document = build_document(4, ["a"])
     for end in (0, 1, 100, len(document) - 1):
         with pytest.raises(DocumentError):
             decode_routing(document[:end])
 
 
-def test_document_without_keys_needs_none():
+def test_document_without_customers_needs_no_key():
     document = json.loads(build_document(1, ["a"]))
     del document["Tenants"]
     assert not decode_routing(json.dumps(document).encode()).needs_key
@@ -132,7 +132,7 @@
     assert read.prompt.output_expected == 80
 
 
-def test_malformed_numbers_count_as_not_given():
+def test_malformed_numbers_count_as_absent():
     read = read_caller_headers(
         CIMultiDict({"X-Deadline-Ms": "soon", "X-Token-Counts": "1,", "Host": "h"})
     )
@@ -178,7 +178,7 @@
     assert sent["X-Expect-Instance"] == "i-1"
 
 
-def test_answer_headers():
+def test_response_headers():
     read = read_answer_headers(503, {"X-Not-Executed": "1", "At-Server": "10.0.0.1:1"})
     assert read.has_not_run
     assert read.faulty_address == "10.0.0.1:1"
@@ -189,7 +189,7 @@
     assert read_answer_headers(200, {"Server-Limit": "1.25"}).request_limit == 1.25
     assert read_answer_headers(503, {"Server-Limit": "0"}).request_limit == 0.0
     assert read_answer_headers(200, {}).request_limit == UNLIMITED
-    # Another upstream answered at this address.
+    # 421: the response is from another upstream at this address.
     assert read_answer_headers(421, {"Server-Limit": "3"}).request_limit is None
     assert not read_answer_headers(421, {"Server-Leaving": "1"}).is_draining
     assert read_answer_headers(200, {"Server-Leaving": "1"}).is_draining
@@ -216,7 +216,7 @@
     assert decode_report(b"[]") is None
 
 
-def test_what_stand_ins_write_is_read_back_alike(tmp_path):
+def test_encoded_messages_decode_to_the_same_values(tmp_path):
     settings = build_settings()
     path = tmp_path / "node.json"
     path.write_bytes(encode_gateway_settings(settings))
--- a/tests/unit/gateway/test_settings_watch.py
+++ b/tests/unit/gateway/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""A settings file that changes: its seeds are told, a broken one changes nothing."""
+"""A changed settings file updates the seeds; an invalid one changes nothing."""
 
 import asyncio
 
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture(autouse=True)
-def look_often(monkeypatch):
-    monkeypatch.setattr(settings_watch, "PERIOD", 0.02)
+def check_often(monkeypatch):
+    monkeypatch.setattr(settings_watch, "CHECK_INTERVAL_S", 0.02)
 
 
 @pytest.fixture
@@ -34,34 +34,34 @@
             await asyncio.sleep(0.01)
 
 
-async def test_changed_file_is_read_without_a_signal(path):
-    told = []
+async def test_changed_file_is_reloaded_without_a_signal(path):
+    seed_updates = []
     watch = SettingsWatch(path, read_gateway_settings(path))
-    async with watch.watch_seeds(told.append):
+    async with watch.watch_seeds(seed_updates.append):
         await asyncio.sleep(0.1)
-        assert told == []
+        assert seed_updates == []
         write_seeds(path, "10.0.0.9:7340")
-        await wait_for(lambda: told == [["10.0.0.9:7340"]])
+        await wait_for(lambda: seed_updates == [["10.0.0.9:7340"]])
 
 
-async def test_signal_reads_the_file_at_once(path, monkeypatch):
-    monkeypatch.setattr(settings_watch, "PERIOD", 60.0)
-    told = []
+async def test_signal_reloads_the_file_at_once(path, monkeypatch):
+    monkeypatch.setattr(settings_watch, "CHECK_INTERVAL_S", 60.0)
+    seed_updates = []
     watch = SettingsWatch(path, read_gateway_settings(path))
-    async with watch.watch_seeds(told.append):
+    async with watch.watch_seeds(seed_updates.append):
         write_seeds(path, "10.0.0.9:7340")
         watch.request_reload()
-        await wait_for(lambda: told == [["10.0.0.9:7340"]])
+        await wait_for(lambda: seed_updates == [["10.0.0.9:7340"]])
 
 
-async def test_broken_file_changes_nothing(path):
-    told = []
+async def test_invalid_file_is_ignored(path):
+    seed_updates = []
     watch = SettingsWatch(path, read_gateway_settings(path))
-    async with watch.watch_seeds(told.append):
+    async with watch.watch_seeds(seed_updates.append):
         path.write_text("{")
         await asyncio.sleep(0.1)
         path.unlink()
         await asyncio.sleep(0.1)
-        assert told == []
+        assert seed_updates == []
         write_seeds(path, "10.0.0.8:7340")
-        await wait_for(lambda: told == [["10.0.0.8:7340"]])
+        await wait_for(lambda: seed_updates == [["10.0.0.8:7340"]])
--- a/tests/unit/gateway/test_start_gateway.py
+++ b/tests/unit/gateway/test_start_gateway.py
@@ -1,4 +1,4 @@
-"""A process listens before it loads what it serves with."""
+"""A process opens its listening socket before it loads the libraries to serve it."""
 
 import json
 import os
@@ -13,13 +13,13 @@
 from scalebend.standins.ports import find_free_ports
 from tests.lib.gateway_builders import build_settings
 
-SLOW = ["msgspec", "structlog", "asyncio", "aiohttp"]
+SLOW_MODULES = ["msgspec", "structlog", "asyncio", "aiohttp"]
 
 
 def test_nothing_slow_is_loaded_before_the_port_is_open():
     code = (
         "import sys, scalebend.commands.start_gateway\n"
-        f"print([name for name in {SLOW!r} if name in sys.modules])"
+        f"print([name for name in {SLOW_MODULES!r} if name in sys.modules])"
     )
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -46,7 +46,7 @@
     assert done.returncode == 0
 
 
-def test_address_is_that_of_the_whole_settings(tmp_path):
+def test_early_address_equals_that_of_the_full_settings(tmp_path):
     path = tmp_path / "node.json"
     path.write_bytes(encode_gateway_settings(build_settings()))
     assert read_callers_address(str(path)) == build_settings().callers_address
@@ -56,7 +56,7 @@
     "text",
     ["", "{", "[]", '{"Listen": 3}', '{"Listen": {}}', '{"Listen": {"Front": 3}}'],
 )
-def test_settings_with_a_fault_are_left_to_whoever_reads_them_all(tmp_path, text):
+def test_invalid_settings_give_no_early_address(tmp_path, text):
     path = tmp_path / "node.json"
     path.write_text(text)
     assert read_callers_address(str(path)) is None
@@ -69,7 +69,7 @@
     assert read_callers_address(str(path)) is None
 
 
-def test_address_that_is_taken_is_reported_later():
+def test_address_in_use_is_reported_by_open():
     (port,) = find_free_ports(1)
     first, second = Listeners(), Listeners()
     first.open(f"127.0.0.1:{port}")
