--- a/src/scalebend/edges/gateway/sockets.py
+++ b/src/scalebend/edges/gateway/sockets.py
@@ -52,7 +52,7 @@
 
 
 def open_listeners(settings: GatewaySettings, listeners: Listeners) -> Listeners:
-    """Listen at the address of callers; processes retry, so theirs can open later."""
+    """Listen at the address of callers; peers retry, so other sockets open later."""
     if settings.callers_address is not None:
         listeners.open(settings.callers_address)
     return listeners
