--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -291,11 +291,11 @@
                 return [ToFront(front, self._place(work, now))]
             case JobStages(stages):
                 for stage in stages:
-                    self.scheduler.note_stage(stage, now)
+                    self.scheduler.record_stage(stage, now)
             case ReplicaFailures(upstreams):
-                self.placement.note_inspection([], upstreams, now)
+                self.placement.record_inspection([], upstreams, now)
             case ReplicaPaces(paces):
-                self.placement.note_inspection(paces, [], now)
+                self.placement.record_inspection(paces, [], now)
             case AttemptOutcomes(outcomes):
                 return self._record_outcomes(outcomes, now)
             case CrashUpdates():
@@ -306,7 +306,7 @@
             case LimitUpdates(limits):
                 self.limits.merge(front, limits, now)
             case RejectionReport(upstream):
-                self.scheduler.note_rejection(upstream, now)
+                self.scheduler.record_rejection(upstream, now)
             case DrainingReport(upstreams):
                 updates = self.upstreams.record_draining(upstreams, now)
                 return self._send_updates(updates)
@@ -318,7 +318,7 @@
                 reply = self.limits.grant(message, now, may_grant=may_grant)
                 return [ToFront(front, reply)]
             case OpenJobs(jobs):
-                self.placement.note_heard(front)
+                self.placement.record_front_report(front)
                 if self.is_leader:
                     self.placement.adopt(jobs, self.table, now)
         return []
@@ -422,7 +422,7 @@
         self, paces: list[ReplicaPace], unresponsive: list[UpstreamId], now: float
     ) -> None:
         """Record the paces that replicas reported and the unresponsive replicas."""
-        self.placement.note_inspection(paces, unresponsive, now)
+        self.placement.record_inspection(paces, unresponsive, now)
 
     def _record_outcomes(
         self, outcomes: list[UpstreamOutcomes], now: float
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -10,7 +10,7 @@
 from scalebend.core.crash_ledger import CrashLedger
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.engine_scheduler import (
-    LONGEST_PART_ALONE,
+    UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
 from scalebend.core.gateway.front_jobs import FrontJobs
@@ -37,7 +37,7 @@
     Subscribe,
     UncoordinatedSends,
 )
-from scalebend.core.gateway.placement_choice import NO_REPLICA_PAUSE
+from scalebend.core.gateway.placement_choice import NO_REPLICA_RETRY_S
 from scalebend.core.gateway.retry_window import RetryWindow
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_store import RoutingUpdate, apply_update
@@ -126,7 +126,7 @@
         self.retries = RetryWindow(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
-        self.scheduler = EngineScheduler(settings.instance, LONGEST_PART_ALONE)
+        self.scheduler = EngineScheduler(settings.instance, UNCOORDINATED_MAX_PART_S)
         self._seeds = {InstanceId(seed) for seed in settings.seeds}
         self._announced: set[InstanceId] = set()
         self.leader: InstanceId | None = None
@@ -292,7 +292,7 @@
         is_known = status.leader == self.leader and status.term == self._term
         self._term = status.term
         if status.busy:
-            self.scheduler.note_busy(status.busy, now)
+            self.scheduler.record_busy_replicas(status.busy, now)
         if is_known or status.leader not in self._linked:
             return []
         logger.info(
@@ -364,7 +364,7 @@
         """Place a job without the leader, from the state of this front."""
         profile = self.table.find_engine(work.service)
         if profile is None:
-            return Declined(NO_REPLICA_PAUSE)
+            return Declined(NO_REPLICA_RETRY_S)
         endpoints = self.directory.list_usable(work.service)
         return self.limits.placement.place(
             self.scheduler, work, endpoints, profile, now
@@ -426,7 +426,7 @@
 
     def record_stage(self, stage: JobStage, now: float) -> list[ToControl]:
         """Record the first token or the end of a job."""
-        self._jobs.note_stage(stage, now)
+        self._jobs.record_stage(stage, now)
         return self._send_to_leader(JobStages([stage]))
 
     def record_outcome(self, upstream: UpstreamId, *, has_failed: bool) -> None:
@@ -509,22 +509,22 @@
         self.balancer.set_ejected(upstreams)
         for upstream in upstreams:
             # For uncoordinated placement, should the leader be lost.
-            self.scheduler.note_failure(upstream, now)
+            self.scheduler.record_failure(upstream, now)
 
     def record_failure(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """Record and report a replica that is unreachable or unresponsive."""
-        self.scheduler.note_failure(upstream, now)
+        self.scheduler.record_failure(upstream, now)
         return self._send_to_leader(ReplicaFailures([upstream]))
 
     def record_rejection(self, upstream: UpstreamId, now: float) -> list[ToControl]:
         """Record and report that an engine rejected a request without running it."""
-        self.scheduler.note_rejection(upstream, now)
+        self.scheduler.record_rejection(upstream, now)
         return self._send_to_leader(RejectionReport(upstream))
 
     def record_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
         """Record and report how slow replicas say they are."""
         for pace in paces:
-            self.scheduler.note_pace(pace, now)
+            self.scheduler.record_pace(pace, now)
         return self._send_to_leader(ReplicaPaces(paces)) if paces else []
 
     def _send_to_leader(self, message: LinkMessage) -> list[ToControl]:
--- a/tests/unit/gateway/test_control_instance.py
+++ b/tests/unit/gateway/test_control_instance.py
@@ -10,7 +10,7 @@
     ToFront,
 )
 from scalebend.core.gateway.control_instance import ControlInstance
-from scalebend.core.gateway.leader_placement import LEARNING_TIME
+from scalebend.core.gateway.leader_placement import LEARNING_TIMEOUT_S
 from scalebend.core.gateway.messages import (
     ControlStatus,
     EndpointChanges,
@@ -221,7 +221,7 @@
 
 def test_front_that_reports_nothing_delays_the_new_leader_only_briefly(new_leader):
     new_leader.instance.handle_front(FRONT, OpenJobs([]), new_leader.now)
-    new_leader.now += LEARNING_TIME
+    new_leader.now += LEARNING_TIMEOUT_S
     assert request_placement(new_leader, 1).placement is not None
 
 
