--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -55,11 +55,11 @@
 from scalebend.core.gateway.routing_store import unpack_routing
 from scalebend.core.gateway.upstream_exchange import UpstreamExchange, UpstreamUpdates
 from scalebend.core.messages import (
-    Found,
+    FoundGroup,
     Hello,
     HelloReply,
     Join,
-    ProposalAnswer,
+    ProposalReply,
     Propose,
     RelayReply,
 )
@@ -155,7 +155,7 @@
                 return self._send_updates(self.upstreams.merge(updates, now))
             case CrashUpdates():
                 self.crashes.receive_from_peer(message, now)
-            case Hello() | HelloReply() | RelayReply() | Found() | Join():
+            case Hello() | HelloReply() | RelayReply() | FoundGroup() | Join():
                 self.member.handle(sender, message, now, at)
             case KnownInstances(instances):
                 self.member.record_control_instances(instances)
@@ -167,7 +167,7 @@
         """Continue after the writes of ``ready`` became durable."""
         actions: list[ControlAction] = []
         for action in self.member.finish(ready, now):
-            if isinstance(action.message, ProposalAnswer):
+            if isinstance(action.message, ProposalReply):
                 actions.append(_read_proposal_reply(action.message))
             else:
                 actions.append(action)
@@ -489,7 +489,7 @@
         )
 
 
-def _read_proposal_reply(reply: ProposalAnswer) -> ProposalEnded:
+def _read_proposal_reply(reply: ProposalReply) -> ProposalEnded:
     result = reply.result
     held = result.version if isinstance(result, RoutingResult) else None
     return ProposalEnded(reply.proposal, held)
