--- a/src/scalebend/core/lanes.py
+++ b/src/scalebend/core/lanes.py
@@ -1,8 +1,8 @@
-"""Which engines of a model prefill and which decode.
+"""Division of a model's engines into a prefill lane and a decode lane.
 
-Every instance orders a model's engines the same way and gives the first ones to
-prefill. How many follows the load that the instance sees: the border moves.
-Engines that announce one role only stay in it.
+All instances sort a model's engines by the same hash and assign the first ones to
+prefill. The size of the prefill lane follows the load that the instance observes.
+Engines that announce a single role keep it.
 """
 
 from __future__ import annotations
@@ -18,28 +18,31 @@
 from scalebend.models.upstream import EngineRole
 from scalebend.models.work import ReplicaView, Request
 
-FEWEST_TO_SPLIT = 4
-"""Engines of a model below which each does both."""
+MIN_ENGINES_TO_SPLIT = 4
+"""With fewer engines of a model, each does both prefill and decode."""
 
-FEWEST_FOR_LONG = 3
-"""Prefill engines open to long prompts, however few those are."""
+MIN_LONG_PROMPT_ENGINES = 3
+"""Prefill engines that always accept long prompts, even if there are few."""
 
-LONG_ROOM = 1.25
-"""Engines given to long prompts, relative to the work that they are."""
+LONG_PROMPT_HEADROOM = 1.25
+"""Engines available to long prompts, relative to their share of prefill work."""
 
-TYPICAL_BATCH = 24
-"""Decoding attempts that an engine of the decode lane is planned to hold."""
+PLANNED_BATCH_ATTEMPTS = 24
+"""Planned batch size, in attempts, of an engine in the decode lane."""
 
-MEMORY_USE = 0.7
-"""Part of the decode lane's memory that is planned to be in use."""
+PLANNED_MEMORY_SHARE = 0.7
+"""Planned share of the decode lane's KV cache memory in use."""
 
-START_SHARE = 0.5
+INITIAL_PREFILL_SHARE = 0.5
+"""Share of engines that prefill before any request was recorded."""
 
 
 class Lanes(msgspec.Struct, frozen=True):
-    """A model's candidates by lane; both hold all of them when they are few.
+    """A model's candidates by lane.
 
-    ``most_memory`` is the largest memory of a decode engine, in tokens.
+    Without a split, engines that announce both roles are in both lanes.
+    ``most_memory`` is the largest KV cache memory of a decode engine in tokens; 0
+    without a split.
     """
 
     prefill: list[Candidate]
@@ -48,28 +51,28 @@
     most_memory: int = 0
 
     def list_for_long(self, long_share: float) -> list[Candidate]:
-        """Prefill engines that long prompts may use: as many as their work needs.
+        """Return the prefill engines open to long prompts, by their share of the work.
 
-        Memory of the others stays free for prompts that end soon.
+        The memory of the other engines stays available to shorter prompts.
         """
-        wanted = math.ceil(long_share * LONG_ROOM * len(self.prefill))
-        return self.prefill[-max(FEWEST_FOR_LONG, wanted) :]
+        wanted = math.ceil(long_share * LONG_PROMPT_HEADROOM * len(self.prefill))
+        return self.prefill[-max(MIN_LONG_PROMPT_ENGINES, wanted) :]
 
 
-class _Work(msgspec.Struct):
-    """Decayed engine-seconds of a model's recent requests."""
+class _ModelLoad(msgspec.Struct):
+    """Decaying sums of a model's recent work, in engine-seconds."""
 
-    at: float
+    updated_at: float
     prefill: float = 0.0
     long_prefill: float = 0.0
     decode: float = 0.0
 
 
 class LaneBorder:
-    """Shares of prefill, and of long prompts in it, in a model's recent work."""
+    """Shares of prefill and of long prompts in each model's recent work."""
 
     def __init__(self) -> None:
-        self._work: dict[ModelName, _Work] = {}
+        self._loads: dict[ModelName, _ModelLoad] = {}
 
     def note(
         self,
@@ -80,54 +83,54 @@
         *,
         is_long: bool,
     ) -> None:
-        """Count a request's engine-seconds of prefill and of decode."""
-        work = self._work.setdefault(model, _Work(now))
-        elapsed = now - work.at
-        work.at = now
-        work.prefill = decay(work.prefill, elapsed) + prefill
-        work.decode = decay(work.decode, elapsed) + decode
-        work.long_prefill = decay(work.long_prefill, elapsed)
-        work.long_prefill += prefill if is_long else 0.0
+        """Record the prefill and decode work of a request, in engine-seconds."""
+        load = self._loads.setdefault(model, _ModelLoad(now))
+        elapsed = now - load.updated_at
+        load.updated_at = now
+        load.prefill = decay(load.prefill, elapsed) + prefill
+        load.decode = decay(load.decode, elapsed) + decode
+        load.long_prefill = decay(load.long_prefill, elapsed)
+        load.long_prefill += prefill if is_long else 0.0
 
     def read_share(self, model: ModelName) -> float:
-        """Part of the engines that should prefill."""
-        work = self._work.get(model)
-        if work is None or work.prefill + work.decode <= 0.0:
-            return START_SHARE
-        return work.prefill / (work.prefill + work.decode)
+        """Return the share of the model's engines that should prefill."""
+        load = self._loads.get(model)
+        if load is None or load.prefill + load.decode <= 0.0:
+            return INITIAL_PREFILL_SHARE
+        return load.prefill / (load.prefill + load.decode)
 
     def read_long_share(self, model: ModelName) -> float:
-        """Part of the prefill engines' work that long prompts are."""
-        work = self._work.get(model)
-        if work is None or work.prefill <= 0.0:
+        """Return the share of long prompts in the model's prefill work."""
+        load = self._loads.get(model)
+        if load is None or load.prefill <= 0.0:
             return 0.0
-        return work.long_prefill / work.prefill
+        return load.long_prefill / load.prefill
 
 
 def compute_decode_seconds(request: Request, view: ReplicaView) -> float:
-    """Engine-seconds of decoding: its part of a batch, or of the memory if larger."""
+    """Return engine-seconds of decoding: share of a batch or, if larger, of memory."""
     duration = request.output_tokens * view.step_time
-    batch_part = 1.0 / TYPICAL_BATCH
-    memory_part = request.memory_tokens / (view.memory_tokens * MEMORY_USE)
-    return duration * max(batch_part, memory_part)
+    batch_share = 1.0 / PLANNED_BATCH_ATTEMPTS
+    memory_share = request.memory_tokens / (view.memory_tokens * PLANNED_MEMORY_SHARE)
+    return duration * max(batch_share, memory_share)
 
 
 def split_lanes(candidates: list[Candidate], prefill_share: float) -> Lanes:
-    """Divide a model's engines by the share of prefill in the load."""
+    """Divide a model's engines into lanes by the share of prefill in the load."""
     both = [c for c in candidates if c.role is EngineRole.BOTH]
     prefill = [c for c in candidates if c.role is EngineRole.PREFILL]
     decode = [c for c in candidates if c.role is EngineRole.DECODE]
-    if len(candidates) < FEWEST_TO_SPLIT:
+    if len(candidates) < MIN_ENGINES_TO_SPLIT:
         return Lanes(both + prefill, both + decode, False)
     wanted = round(prefill_share * len(candidates)) - len(prefill)
-    fewest = 0 if prefill else 1
-    most = len(both) if decode else len(both) - 1
-    count = max(fewest, min(most, wanted))
-    ordered = sorted(both, key=_order)
+    min_count = 0 if prefill else 1
+    max_count = len(both) if decode else len(both) - 1
+    count = max(min_count, min(max_count, wanted))
+    ordered = sorted(both, key=_hash_upstream)
     decode += ordered[count:]
     most_memory = max((c.view.memory_tokens for c in decode), default=0)
     return Lanes(prefill + ordered[:count], decode, True, most_memory)
 
 
-def _order(candidate: Candidate) -> int:
+def _hash_upstream(candidate: Candidate) -> int:
     return xxhash.xxh3_64_intdigest(candidate.view.upstream.encode())
--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -1,4 +1,4 @@
-"""Where a request runs: its replica, its group, or its prefill and decode engines."""
+"""Placement of attempts: on a replica, a prefill group, or split engines."""
 
 from __future__ import annotations
 
@@ -39,21 +39,24 @@
 logger = structlog.get_logger(__name__)
 
 MOST_GROUP = 3
-"""Replicas that one prompt may be spread over."""
+"""Replicas that may prefill one prompt together."""
 
-GROUP_PATIENCE = 20.0
-"""Seconds a reservation may wait while others of its group are already held."""
+GROUP_RESERVATION_TIMEOUT_S = 20.0
+"""Limits the wait for a reservation while others of its group are held."""
 
 
 class Placed(msgspec.Struct):
-    """Works of one attempt, in reservation order, and whether it is split."""
+    """Work of one attempt per replica, in the order of reservation.
+
+    ``is_split``: the work is the prefill only; decode is placed afterwards.
+    """
 
     works: list[Work]
     is_split: bool = False
 
 
 class Placement:
-    """Chooses replicas from the catalog and what is known of their load."""
+    """Chooses replicas by the catalog and their known load."""
 
     def __init__(
         self,
@@ -69,15 +72,15 @@
         self.outliers = OutlierDetector()
         self.pending = PendingLoad()
         self.backoffs = UpstreamBackoffs()
-        """By incarnation, see :meth:`note_backoff`."""
+        """Keyed by incarnation; see :meth:`note_backoff`."""
 
         self._instance = instance
         self._zone = zone
         self._catalog = catalog
         self._is_split = is_split
-        self._border = LaneBorder()
+        self._lane_shares = LaneBorder()
         self._lanes: dict[ModelName, tuple[list[Candidate], float, Lanes]] = {}
-        self._chooser = random.Random(seed)
+        self._random = random.Random(seed)
 
     def place(
         self,
@@ -86,39 +89,44 @@
         excluded: set[UpstreamId],
         now: float,
     ) -> Placed | None:
-        """Choose where an attempt starts; ``None`` when nothing can take it."""
+        """Choose where an attempt starts; ``None`` if no replica can serve it."""
         candidates = self._list_usable(request, excluded, now)
         if request.model is None or not self._is_split:
-            return self._place_whole(request, attempt, candidates, now)
-        self._note_work(request, candidates, now)
-        lanes = self._split(request.model, candidates)
+            return self._place_unsplit(request, attempt, candidates, now)
+        self._record_load(request, candidates, now)
+        lanes = self._split_lanes(request.model, candidates)
         if not lanes.is_split:
-            return self._place_whole(request, attempt, candidates, now)
-        chosen = lanes.prefill
+            return self._place_unsplit(request, attempt, candidates, now)
+        prefill_engines = lanes.prefill
         if request.prompt_tokens >= LONG_TOKENS:
-            chosen = lanes.list_for_long(self._border.read_long_share(request.model))
+            prefill_engines = lanes.list_for_long(
+                self._lane_shares.read_long_share(request.model)
+            )
         if request.memory_tokens > lanes.most_memory:
-            # No engine holds it whole: a group prefills and decodes it.
-            return self._place_whole(request, attempt, chosen, now, candidates)
+            # No decode engine has enough memory: one prefill engine or a group of
+            # them does both.
+            return self._place_unsplit(
+                request, attempt, prefill_engines, now, candidates
+            )
         first_part = msgspec.structs.replace(request, output_tokens=1)
-        placed = self._place_one(first_part, attempt, chosen, now)
+        placed = self._place_one(first_part, attempt, prefill_engines, now)
         if placed is None:
-            return self._place_whole(request, attempt, candidates, now)
+            return self._place_unsplit(request, attempt, candidates, now)
         placed.is_split = True
         return placed
 
     def place_decode(
         self, request: Request, work: Work, excluded: set[UpstreamId], now: float
     ) -> Work | None:
-        """Choose the engine that decodes what ``work`` has prefilled."""
+        """Choose the engine that decodes after the prefill by ``work``."""
         assert request.model is not None
         candidates = self._list_usable(request, excluded, now)
-        lanes = self._split(request.model, candidates)
+        lanes = self._split_lanes(request.model, candidates)
         record = self._catalog.get(work.upstream)
         zone = record.view.availability_zone if record else self._zone
         sampled = [
             candidate
-            for candidate in sample_candidates(lanes.decode, zone, {}, self._chooser)
+            for candidate in sample_candidates(lanes.decode, zone, {}, self._random)
             if candidate.view.upstream != work.upstream
         ]
         choice = choose_decode_replica(
@@ -139,35 +147,39 @@
             held_elsewhere=True,
         )
 
-    def _split(self, model: ModelName, candidates: list[Candidate]) -> Lanes:
-        """Divide the candidates; the last division of the same list is kept."""
-        share = round(self._border.read_share(model), 2)
-        kept = self._lanes.get(model)
-        if kept is not None and kept[0] is candidates and kept[1] == share:
-            return kept[2]
+    def _split_lanes(self, model: ModelName, candidates: list[Candidate]) -> Lanes:
+        """Divide the candidates into lanes; caches the result for the same list."""
+        share = round(self._lane_shares.read_share(model), 2)
+        cached_lanes = self._lanes.get(model)
+        if (
+            cached_lanes is not None
+            and cached_lanes[0] is candidates
+            and cached_lanes[1] == share
+        ):
+            return cached_lanes[2]
         lanes = split_lanes(candidates, share)
         self._lanes[model] = (candidates, share, lanes)
         return lanes
 
     def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
-        """A replica turned a request of this instance away, and asked for a pause."""
-        self.backoffs.record(self._name_incarnation(upstream), seconds, now)
+        """Record that a replica rejected a request of this instance for ``seconds``."""
+        self.backoffs.record(self._build_incarnation_name(upstream), seconds, now)
 
     def may_send(self, upstream: UpstreamId, now: float) -> bool:
-        """Whether a replica takes requests from this instance now."""
+        """Whether the replica is not in backoff for this instance."""
         if not self.backoffs.has_any:
             return True
-        return self.backoffs.may_send(self._name_incarnation(upstream), now)
+        return self.backoffs.may_send(self._build_incarnation_name(upstream), now)
 
     def compute_backoff(self, request: Request, now: float) -> float:
-        """Seconds until a replica that serves the request takes one; 0 if one does."""
+        """Return the seconds until a serving replica is out of backoff; 0 if one is."""
         if not self.backoffs.has_any:
             return 0.0
         serving = self._catalog.list_candidates(request, set())
-        names = [self._name_incarnation(c.view.upstream) for c in serving]
+        names = [self._build_incarnation_name(c.view.upstream) for c in serving]
         return self.backoffs.compute_shortest_wait(names, now)
 
-    def _name_incarnation(self, upstream: UpstreamId) -> UpstreamId:
+    def _build_incarnation_name(self, upstream: UpstreamId) -> UpstreamId:
         record = self._catalog.get(upstream)
         born = record.announcement.incarnation if record is not None else None
         return build_upstream_id(UpstreamName(upstream), born)
@@ -175,16 +187,18 @@
     def _list_usable(
         self, request: Request, excluded: set[UpstreamId], now: float
     ) -> list[Candidate]:
-        found = self._catalog.list_candidates(request, excluded)
+        candidates = self._catalog.list_candidates(request, excluded)
         if self.backoffs.has_any:
-            found = [c for c in found if self.may_send(c.view.upstream, now)]
+            candidates = [c for c in candidates if self.may_send(c.view.upstream, now)]
         if not self.outliers.has_any():
-            return found
-        usable = [c for c in found if self.outliers.is_usable(c.view.upstream, now)]
-        # With every replica set aside, a poor one is better than none.
-        return usable or found
+            return candidates
+        usable = [
+            c for c in candidates if self.outliers.is_usable(c.view.upstream, now)
+        ]
+        # Ejections are ignored if they would leave no replica.
+        return usable or candidates
 
-    def _note_work(
+    def _record_load(
         self, request: Request, candidates: list[Candidate], now: float
     ) -> None:
         if not candidates or request.model is None:
@@ -193,21 +207,21 @@
         prefill = request.prompt_tokens / view.prefill_rate
         decode = compute_decode_seconds(request, view)
         is_long = request.prompt_tokens >= LONG_TOKENS
-        self._border.note(request.model, prefill, decode, now, is_long=is_long)
+        self._lane_shares.note(request.model, prefill, decode, now, is_long=is_long)
 
-    def _place_whole(
+    def _place_unsplit(
         self,
         request: Request,
         attempt: AttemptId,
         candidates: list[Candidate],
         now: float,
-        spare: list[Candidate] | None = None,
+        fallback: list[Candidate] | None = None,
     ) -> Placed | None:
         placed = self._place_one(request, attempt, candidates, now)
         if placed is not None:
             return placed
         return self._place_group(request, attempt, candidates, now) or (
-            self._place_group(request, attempt, spare, now) if spare else None
+            self._place_group(request, attempt, fallback, now) if fallback else None
         )
 
     def _place_one(
@@ -221,7 +235,7 @@
         if request.prefixes and request.model:
             ratio = self.sizes.get_bytes_per_token(request.model)
             cached = self.prefixes.count_cached(request.prefixes, ratio)
-        sampled = sample_candidates(candidates, self._zone, cached, self._chooser)
+        sampled = sample_candidates(candidates, self._zone, cached, self._random)
         choice = choose_replica(
             Demand(request.prompt_tokens, request.memory_tokens),
             sampled,
@@ -232,7 +246,7 @@
         if choice is None:
             return None
         self._log(request, choice, "start")
-        self._note_chosen(choice.upstream, choice.prefill_tokens, now)
+        self._record_chosen(choice.upstream, choice.prefill_tokens, now)
         work = self._build_work(
             request,
             attempt,
@@ -268,7 +282,7 @@
         works = []
         for number, upstream in enumerate(group):
             prefill_tokens = divide_up(request.prompt_tokens, len(group))
-            self._note_chosen(upstream, prefill_tokens, now)
+            self._record_chosen(upstream, prefill_tokens, now)
             work = self._build_work(
                 request,
                 attempt,
@@ -276,13 +290,15 @@
                 memory_tokens=divide_up(request.memory_tokens, len(group)),
                 prefill_tokens=prefill_tokens,
                 output_tokens=divide_up(request.output_tokens, len(group)),
-                patience=patience if number == 0 else min(GROUP_PATIENCE, patience),
+                patience=patience
+                if number == 0
+                else min(GROUP_RESERVATION_TIMEOUT_S, patience),
                 held_elsewhere=number > 0,
             )
             works.append(work)
         return Placed(works)
 
-    def _note_chosen(
+    def _record_chosen(
         self, upstream: UpstreamId, prefill_tokens: int, now: float
     ) -> None:
         self.pending.add(upstream, prefill_tokens)
--- a/src/scalebend/core/queueing.py
+++ b/src/scalebend/core/queueing.py
@@ -1,8 +1,8 @@
-"""Order in which a replica's owner starts waiting work.
+"""Scheduling order of the work queued at a replica's owner.
 
-A policy is a data class; its behaviour is chosen by ``match``. Each waiting attempt
-has a key that does not change while it waits, so a queue is a heap per group: by
-customer for fair queueing, and by size class for all policies but first-come.
+A policy is a data class; ``match`` selects its behaviour. The sort key of a queued
+attempt never changes, so each queue is a set of heaps: one per size class (except
+under first-come) and, for fair queueing, per customer.
 """
 
 from __future__ import annotations
@@ -19,51 +19,54 @@
 from scalebend.models.work import Work
 
 SHORT_TOKENS = 4_000
-"""Prompts under this are short: they may use the replica's memory reserve."""
+"""Prompts below this size are short and may use the replica's memory reserve."""
 
 LONG_TOKENS = 100_000
-"""Prompts from this size are long."""
+"""Prompts of at least this size are long."""
 
-CLASS_BORDERS = (SHORT_TOKENS, 12_000, 32_000, LONG_TOKENS)
-"""Prefill sizes that divide the classes; an engine prefills a lower class first."""
+CLASS_BOUNDS_TOKENS = (SHORT_TOKENS, 12_000, 32_000, LONG_TOKENS)
+"""Lower bounds of the size classes above the first; lower classes prefill first."""
 
-SIZE_CLASSES = len(CLASS_BORDERS) + 1
+SIZE_CLASSES = len(CLASS_BOUNDS_TOKENS) + 1
 
-AGEING = 5.0
-"""Seconds of waiting that halve a request's size in the smallest-first order."""
+SIZE_HALVING_S = 5.0
+"""Queueing time after which a request's effective size halves (smallest-first)."""
 
 PRIORITY_FACTOR = 2.0
-"""Each step of priority multiplies a share by this; no step starves another."""
+"""Each priority step divides the effective size by this, so that none starves."""
 
-PRIORITY_AGEING = 20.0
-"""Seconds of waiting that outweigh one step of a request's priority."""
+PRIORITY_STEP_S = 20.0
+"""Queueing time that outweighs one priority step in order of arrival."""
 
 
 class FirstCome(msgspec.Struct, frozen=True, tag="first-come"):
-    """One shared queue in order of arrival: the baseline."""
+    """One shared queue in order of arrival, as a baseline."""
 
 
 class Lanes(msgspec.Struct, frozen=True, tag="lanes"):
-    """Size intervals: shorter intervals first, by arrival within an interval."""
+    """Smaller size intervals first; in order of arrival within an interval.
 
-    borders: tuple[int, ...] = (SHORT_TOKENS, 32_000, LONG_TOKENS)
+    ``bounds`` are the lower bounds in prefill tokens of the intervals above the first.
+    """
+
+    bounds: tuple[int, ...] = (SHORT_TOKENS, 32_000, LONG_TOKENS)
 
 
 class FairQueue(msgspec.Struct, frozen=True, tag="fair"):
-    """Least normalized use first; within a customer smallest first with ageing."""
+    """Lowest normalized usage first; within a customer, smallest first with aging."""
 
 
 class SmallestFirst(msgspec.Struct, frozen=True, tag="smallest"):
-    """Smallest remaining work first with ageing, whoever the customer is."""
+    """Smallest work first with aging, regardless of the customer."""
 
 
 Policy = FirstCome | Lanes | FairQueue | SmallestFirst
 
 
 class Strategy(msgspec.Struct, frozen=True):
-    """How requests are served: order in the queues, and whether they are split.
+    """Queueing policy, and whether prefill and decode run on different engines.
 
-    ``is_split``: prefill and decode run on different engines, with KV export.
+    ``is_split``: the prefill engine exports the KV cache to the decode engine.
     """
 
     queue: Policy
@@ -83,157 +86,161 @@
 SHARED_CUSTOMER = CustomerId("")
 
 
-class Group(NamedTuple):
-    """Work that is started in the order of its keys.
+class SubqueueKey(NamedTuple):
+    """Identifies work that starts in the order of its sort keys.
 
-    ``is_free`` is false for work that holds memory elsewhere: it goes first, to set
-    that free. Size classes are apart, so that a large head that cannot start yet
-    does not stop the smaller ones behind it.
+    ``is_unallocated`` is false for work that holds memory on another replica: it goes
+    first, so that this memory is released early. Size classes have separate
+    subqueues, so that large work that cannot start yet does not block smaller work.
     """
 
-    is_free: bool
+    is_unallocated: bool
     customer: CustomerId
     size_class: int
 
 
 class Waiting(msgspec.Struct):
-    """Work in an owner's queue; ``arrived`` and ``blocked_since`` in its clock."""
+    """Queued work; ``arrived`` and ``blocked_since`` are in the owner's clock."""
 
     work: Work
     arrived: float
     blocked_since: float | None = None
 
     def is_expired(self, now: float) -> bool:
-        """Whether the work can no longer start in time."""
+        """Whether the work has been queued for its whole timeout."""
         return now - self.arrived >= self.work.patience
 
 
-Key = tuple[float, ...]
+SortKey = tuple[float, ...]
 
 
 def compute_size_class(prefill_tokens: int) -> int:
-    """Return the class of a prefill; the lowest has the shortest ones."""
-    return bisect.bisect_right(CLASS_BORDERS, prefill_tokens)
+    """Return the size class of a prefill; class 0 has the smallest."""
+    return bisect.bisect_right(CLASS_BOUNDS_TOKENS, prefill_tokens)
 
 
-def compute_key(policy: Policy, work: Work, arrived: float) -> Key:
-    """Return the sort key of work under ``policy``; the lowest starts first."""
+def compute_key(policy: Policy, work: Work, arrived: float) -> SortKey:
+    """Return the sort key of ``work`` under ``policy``; the lowest starts first."""
     match policy:
         case FirstCome():
             return (arrived,)
-        case Lanes(borders):
-            lane = sum(work.prefill_tokens >= border for border in borders)
-            return (lane, _age_priority(work, arrived))
+        case Lanes(bounds):
+            lane = sum(work.prefill_tokens >= bound for bound in bounds)
+            return (lane, _compute_arrival_key(work, arrived))
         case FairQueue() | SmallestFirst():
-            return (_age_size(work, arrived),)
+            return (_compute_size_key(work, arrived),)
 
 
-def _age_size(work: Work, arrived: float) -> float:
-    # size * 0.5 ** (waited / AGEING) orders like its logarithm, in which the
-    # present time is the same for all and drops out.
+def _compute_size_key(work: Work, arrived: float) -> float:
+    # The order of size * 0.5 ** (waited / SIZE_HALVING_S) is that of its logarithm,
+    # where the current time is a common term and drops out.
     size = math.log2(1 + work.prefill_tokens + work.output_tokens)
-    return size + arrived / AGEING - work.priority * math.log2(PRIORITY_FACTOR)
+    return size + arrived / SIZE_HALVING_S - work.priority * math.log2(PRIORITY_FACTOR)
 
 
-def _age_priority(work: Work, arrived: float) -> float:
-    return arrived - work.priority * PRIORITY_AGEING
+def _compute_arrival_key(work: Work, arrived: float) -> float:
+    return arrived - work.priority * PRIORITY_STEP_S
 
 
 class WorkQueue:
-    """Waiting work of one replica under one policy."""
+    """Queued work of one replica under one policy."""
 
     def __init__(self, policy: Policy, shares: ShareLedger) -> None:
         self._policy = policy
         self._shares = shares
-        self._groups: dict[Group, list[tuple[Key, AttemptId]]] = {}
-        self._waiting: dict[AttemptId, Waiting] = {}
-        self._group_tokens: dict[Group, int] = {}
+        self._subqueues: dict[SubqueueKey, list[tuple[SortKey, AttemptId]]] = {}
+        self._queued: dict[AttemptId, Waiting] = {}
+        self._subqueue_tokens: dict[SubqueueKey, int] = {}
         self.tokens = 0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
     def __contains__(self, attempt: object) -> bool:
-        return attempt in self._waiting
+        return attempt in self._queued
 
     def push(self, work: Work, now: float) -> None:
-        """Queue ``work``; queueing the same attempt twice changes nothing."""
-        if work.attempt in self._waiting:
+        """Queue ``work``; does nothing if the attempt is queued already."""
+        if work.attempt in self._queued:
             return
-        group = self._find_group(work)
-        self._waiting[work.attempt] = Waiting(work, now)
+        subqueue = self._get_subqueue(work)
+        self._queued[work.attempt] = Waiting(work, now)
         key = compute_key(self._policy, work, now)
-        heapq.heappush(self._groups.setdefault(group, []), (key, work.attempt))
-        self._count(group, work.prefill_tokens)
+        heapq.heappush(self._subqueues.setdefault(subqueue, []), (key, work.attempt))
+        self._add_tokens(subqueue, work.prefill_tokens)
 
     def remove(self, attempt: AttemptId) -> Waiting | None:
-        """Take the attempt out, wherever it stands."""
-        waiting = self._waiting.pop(attempt, None)
-        if waiting is None:
+        """Remove and return the attempt; ``None`` if it is not queued."""
+        queued = self._queued.pop(attempt, None)
+        if queued is None:
             return None
-        group = self._find_group(waiting.work)
-        self._count(group, -waiting.work.prefill_tokens)
-        self._drop_removed(group)
-        return waiting
+        subqueue = self._get_subqueue(queued.work)
+        self._add_tokens(subqueue, -queued.work.prefill_tokens)
+        self._discard_removed(subqueue)
+        return queued
 
     def list_waiting(self) -> list[Waiting]:
-        """All waiting work, in no order."""
-        return list(self._waiting.values())
+        """Return all queued work, in no particular order."""
+        return list(self._queued.values())
 
     def list_heads(self, now: float) -> list[Waiting]:
-        """The first of each group, the group to be served next first."""
-        if len(self._groups) > 1:
-            groups = sorted(
-                self._groups,
-                key=lambda group: self._rank_group(group, now),
+        """Return the first work of each subqueue, in the order of service."""
+        if len(self._subqueues) > 1:
+            subqueues = sorted(
+                self._subqueues,
+                key=lambda subqueue: self._rank_subqueue(subqueue, now),
             )
         else:
-            groups = list(self._groups)
-        return [self._waiting[self._groups[group][0][1]] for group in groups]
+            subqueues = list(self._subqueues)
+        return [self._queued[self._subqueues[subqueue][0][1]] for subqueue in subqueues]
 
-    def _rank_group(self, group: Group, now: float) -> tuple[bool, float, Key]:
-        use = self._shares.compute_normalized(group.customer, now)
-        return (group.is_free, use, self._groups[group][0][0])
+    def _rank_subqueue(
+        self, subqueue: SubqueueKey, now: float
+    ) -> tuple[bool, float, SortKey]:
+        usage = self._shares.compute_normalized(subqueue.customer, now)
+        return (subqueue.is_unallocated, usage, self._subqueues[subqueue][0][0])
 
     def count_tokens_by_class(self) -> tuple[int, ...]:
-        """Waiting prefill tokens of each size class."""
+        """Return the queued prefill tokens of each size class."""
         counts = [0] * SIZE_CLASSES
-        for group, tokens in self._group_tokens.items():
-            counts[group.size_class] += tokens
+        for subqueue, tokens in self._subqueue_tokens.items():
+            counts[subqueue.size_class] += tokens
         return tuple(counts)
 
     def estimate_tokens_ahead(self, work: Work) -> int:
-        """Prefill tokens likely to start before ``work`` if it were queued now."""
-        own_group = self._find_group(work)
-        own = 0
-        customers = {own_group.customer}
-        for group, tokens in self._group_tokens.items():
-            if group.size_class > own_group.size_class:
+        """Estimate the prefill tokens that start before ``work`` if queued now."""
+        own_subqueue = self._get_subqueue(work)
+        own_tokens = 0
+        customers = {own_subqueue.customer}
+        for subqueue, tokens in self._subqueue_tokens.items():
+            if subqueue.size_class > own_subqueue.size_class:
                 continue
-            customers.add(group.customer)
-            if group.customer == own_group.customer:
-                own += tokens
-        return min(self.tokens, own * len(customers))
+            customers.add(subqueue.customer)
+            if subqueue.customer == own_subqueue.customer:
+                own_tokens += tokens
+        return min(self.tokens, own_tokens * len(customers))
 
-    def _find_group(self, work: Work) -> Group:
-        is_free = not work.held_elsewhere
+    def _get_subqueue(self, work: Work) -> SubqueueKey:
+        is_unallocated = not work.held_elsewhere
         size_class = compute_size_class(work.prefill_tokens)
         match self._policy:
             case FirstCome():
-                return Group(True, SHARED_CUSTOMER, 0)
+                return SubqueueKey(True, SHARED_CUSTOMER, 0)
             case FairQueue():
-                return Group(is_free, work.customer, size_class)
+                return SubqueueKey(is_unallocated, work.customer, size_class)
             case _:
-                return Group(is_free, SHARED_CUSTOMER, size_class)
+                return SubqueueKey(is_unallocated, SHARED_CUSTOMER, size_class)
 
-    def _count(self, group: Group, tokens: int) -> None:
+    def _add_tokens(self, subqueue: SubqueueKey, tokens: int) -> None:
         self.tokens += tokens
-        self._group_tokens[group] = self._group_tokens.get(group, 0) + tokens
+        self._subqueue_tokens[subqueue] = (
+            self._subqueue_tokens.get(subqueue, 0) + tokens
+        )
 
-    def _drop_removed(self, group: Group) -> None:
-        heap = self._groups[group]
-        while heap and heap[0][1] not in self._waiting:
+    def _discard_removed(self, subqueue: SubqueueKey) -> None:
+        heap = self._subqueues[subqueue]
+        while heap and heap[0][1] not in self._queued:
             heapq.heappop(heap)
         if not heap:
-            del self._groups[group]
-            del self._group_tokens[group]
+            del self._subqueues[subqueue]
+            del self._subqueue_tokens[subqueue]
