--- a/src/scalebend/core/admission.py
+++ b/src/scalebend/core/admission.py
@@ -1,8 +1,8 @@
-"""Admission of a request: the customer's limits over the whole fleet.
+"""Admission control: fleet-wide limits of each customer.
 
-An instance enforces an equal part of a customer's rates (the platform's balancer
-spreads callers evenly), and of its concurrency what the other instances have not
-reported as used.
+Each instance enforces an equal share of a customer's rate limits, since the platform's
+load balancer spreads callers evenly. The concurrency limit also counts the open
+requests that other instances reported.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from scalebend.models.configuration import CustomerLimits
 from scalebend.models.ids import CustomerId, RequestId
 
-BURST = 2.0
-"""Seconds of a rate limit that may be used at once."""
+BURST_S = 2.0
+"""Burst size: a rate limit's amount for this time may be used at once."""
 
 
 class _Bucket(msgspec.Struct):
-    """Token bucket that may go into debt by one request."""
+    """Token bucket; its level may become negative by one request."""
 
     level: float
-    at: float
+    updated_at: float
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what accrued since the last call."""
-        elapsed = max(0.0, now - self.at)
-        self.level = min(rate * BURST, self.level + elapsed * rate)
-        self.at = max(self.at, now)
+        """Add the amount accrued since the last call, at ``rate`` per second."""
+        elapsed = max(0.0, now - self.updated_at)
+        self.level = min(rate * BURST_S, self.level + elapsed * rate)
+        self.updated_at = max(self.updated_at, now)
 
 
 class _CustomerState(msgspec.Struct):
@@ -38,9 +38,9 @@
 
 
 class AdmissionControl:
-    """Rate, token and concurrency limits of all customers at one instance.
+    """Request rate, token rate and concurrency limits at one instance.
 
-    ``instances`` is how many instances admit requests now: each enforces its part.
+    ``instances`` is the number of instances among which rate limits are divided.
     """
 
     def __init__(self) -> None:
@@ -49,23 +49,23 @@
         self._states: dict[CustomerId, _CustomerState] = {}
 
     def set_limits(self, limits: dict[CustomerId, CustomerLimits]) -> None:
-        """Replace all limits; open requests stay counted."""
+        """Replace the limits of all customers; open requests remain counted."""
         self._limits = limits
         for customer in [c for c in self._states if c not in limits]:
             if not self._states[customer].open:
                 del self._states[customer]
 
     def set_fleet_open(self, customer: CustomerId, others: int) -> None:
-        """Open requests of the customer at other instances, as last reported."""
+        """Set the customer's open requests at other instances, as last reported."""
         self._get_state(customer).fleet_open = others
 
     def count_open(self, customer: CustomerId) -> int:
-        """Open requests of the customer at this instance."""
+        """Return the number of the customer's open requests at this instance."""
         state = self._states.get(customer)
         return len(state.open) if state else 0
 
     def read_open(self) -> dict[CustomerId, int]:
-        """Open requests of every customer that has any here."""
+        """Return the open requests at this instance by customer, without zeros."""
         return {
             customer: len(state.open)
             for customer, state in self._states.items()
@@ -75,24 +75,24 @@
     def admit(
         self, request: RequestId, customer: CustomerId, tokens: int, now: float
     ) -> None:
-        """Count the request in; raise :class:`RefusedError` over a limit."""
+        """Admit and count the request; raises :class:`RefusedError` over a limit."""
         limits = self._limits.get(customer, CustomerLimits())
         state = self._get_state(customer)
         self._check_concurrency(limits, state)
         requests = self._refill(state.requests, limits.requests_per_second, now)
-        used = self._refill(state.tokens, limits.tokens_per_second, now)
+        tokens_bucket = self._refill(state.tokens, limits.tokens_per_second, now)
         self._check_bucket(requests, limits.requests_per_second, "requests a second")
-        self._check_bucket(used, limits.tokens_per_second, "tokens a second")
+        self._check_bucket(tokens_bucket, limits.tokens_per_second, "tokens a second")
         if requests is not None:
             requests.level -= 1.0
-        if used is not None:
-            used.level -= tokens
+        if tokens_bucket is not None:
+            tokens_bucket.level -= tokens
         state.requests = requests
-        state.tokens = used
+        state.tokens = tokens_bucket
         state.open[request] = tokens
 
     def finish(self, request: RequestId, customer: CustomerId) -> None:
-        """Count the request out; doing so twice changes nothing."""
+        """Stop counting the request; a repeated call does nothing."""
         state = self._states.get(customer)
         if state is not None:
             state.open.pop(request, None)
@@ -118,10 +118,10 @@
     ) -> _Bucket | None:
         if rate is None:
             return None
-        part = rate / self.instances
+        share = rate / self.instances
         if bucket is None:
-            return _Bucket(level=part * BURST, at=now)
-        bucket.refill(part, now)
+            return _Bucket(level=share * BURST_S, updated_at=now)
+        bucket.refill(share, now)
         return bucket
 
     def _check_bucket(
--- a/src/scalebend/core/prefixes.py
+++ b/src/scalebend/core/prefixes.py
@@ -1,7 +1,8 @@
-"""Prefix hashes of prompts, and which replica is likely to have them cached.
+"""Prefix hashes of prompts and an index of replicas that probably cache them.
 
-Cache events are hints: late, with gaps, and never a reason to wait. On a gap the
-replica's entries are dropped and learned again from its own reported hits.
+Cache events are hints: they may be late or lost, and nothing waits for them. After a
+gap in their sequence the replica's entries are dropped and learned again from the
+hits that it reports.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from scalebend.models.upstream import CacheEvent
 
 KIB = 1024
-MOST_ENTRIES = 20_000
-"""Hashes remembered by one instance, least recently used dropped first."""
+MAX_ENTRIES = 20_000
+"""Hashes indexed by one instance; the least recently learned are dropped first."""
 
 
 def list_boundaries(size: int) -> list[int]:
     """Return the byte offsets at which a prompt of ``size`` bytes is hashed.
 
-    Steps of 1 KiB up to 16 KiB, of 16 KiB up to 256 KiB, of 256 KiB beyond: at most
+    Steps are 1 KiB up to 16 KiB, 16 KiB up to 256 KiB and 256 KiB beyond: at most
     47 hashes for a million tokens.
     """
     boundaries = list(range(KIB, min(size, 16 * KIB) + 1, KIB))
@@ -31,7 +32,7 @@
 
 
 def compute_prefixes(prompt: bytes) -> tuple[int, ...]:
-    """Return the 64-bit hash of each prefix, the shortest first."""
+    """Return the 64-bit hashes of the prompt's prefixes, shortest first."""
     state = xxhash.xxh3_64()
     hashes = []
     start = 0
@@ -43,10 +44,10 @@
 
 
 class PrefixIndex:
-    """Replicas that probably cache each prefix."""
+    """Maps prefix hashes to the replicas that probably cache them."""
 
-    def __init__(self, most_entries: int = MOST_ENTRIES) -> None:
-        self._most_entries = most_entries
+    def __init__(self, most_entries: int = MAX_ENTRIES) -> None:
+        self._max_entries = most_entries
         self._replicas: OrderedDict[int, set[UpstreamId]] = OrderedDict()
         self._sequences: dict[UpstreamId, int] = {}
 
@@ -54,7 +55,7 @@
         return len(self._replicas)
 
     def take_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
-        """Apply one cache event; an old one is ignored, a gap drops the replica."""
+        """Apply a cache event; ignores old ones, drops known entries on a gap."""
         last = self._sequences.get(upstream)
         if last is not None and event.sequence <= last:
             return
@@ -66,15 +67,15 @@
             self._remove(prefix, upstream)
 
     def learn(self, upstream: UpstreamId, prefixes: tuple[int, ...]) -> None:
-        """Note that the replica has computed these prefixes."""
+        """Record that the replica has computed these prefixes."""
         for prefix in prefixes:
             self._replicas.setdefault(prefix, set()).add(upstream)
             self._replicas.move_to_end(prefix)
-        while len(self._replicas) > self._most_entries:
+        while len(self._replicas) > self._max_entries:
             self._replicas.popitem(last=False)
 
     def forget_replica(self, upstream: UpstreamId) -> None:
-        """Drop all that is known of the replica's cache."""
+        """Drop all entries and the sequence number of the replica."""
         self._sequences.pop(upstream, None)
         for prefix in [p for p, names in self._replicas.items() if upstream in names]:
             self._remove(prefix, upstream)
@@ -82,7 +83,7 @@
     def count_cached(
         self, prefixes: tuple[int, ...], bytes_per_token: float
     ) -> dict[UpstreamId, int]:
-        """Return the tokens of the prompt that each replica probably caches."""
+        """Return how many tokens of the prompt each replica probably caches."""
         if not prefixes or not self._replicas:
             return {}
         cached: dict[UpstreamId, int] = {}
--- a/src/scalebend/core/shares.py
+++ b/src/scalebend/core/shares.py
@@ -1,8 +1,8 @@
-"""Use of the fleet by customer, as an exponentially decayed sum.
+"""Usage of the fleet by customer, as an exponentially decaying sum.
 
-Usage decays with a fixed half-life, so that sums from several instances can be
-added, an idle customer comes back at once, and nothing is remembered for ever. See
-docs/design/fair-shares.md for the ways weighed.
+All instances use the same half-life, so that their sums can be added. Old usage
+expires, and a customer that was idle is served at once. See
+docs/design/fair-shares.md for the alternatives.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from scalebend.models.ids import CustomerId
 
 HALF_LIFE = 20.0
-"""Seconds after which past use counts half."""
+"""Time after which usage counts half."""
 
-FORGET_BELOW = 1e-3
-"""Decayed engine-seconds under which a customer's entry is dropped."""
+MIN_USAGE_S = 1e-3
+"""Usage in engine-seconds below which an entry has expired."""
 
 
 class Usage(msgspec.Struct, frozen=True, array_like=True):
-    """Decayed use of one customer at the time it was read, in engine-seconds."""
+    """Decayed usage of one customer when it was read, in engine-seconds."""
 
     customer: CustomerId
     seconds: float
 
 
 def decay(seconds: float, elapsed: float) -> float:
-    """Return what is left of ``seconds`` of use after ``elapsed`` seconds."""
+    """Return ``seconds`` of usage decayed by ``elapsed`` seconds."""
     if elapsed <= 0.0:
         return seconds
     return float(seconds * 0.5 ** (elapsed / HALF_LIFE))
@@ -34,13 +34,13 @@
 
 class _Counter(msgspec.Struct):
     seconds: float
-    at: float
+    updated_at: float
 
 
 class ShareLedger:
-    """Decayed local use, plus what other instances reported.
+    """Decaying usage at this instance and, as reported, at all others.
 
-    ``weights`` maps customers to their share; an unknown one weighs 1.
+    ``weights`` maps customers to their relative shares, 1 by default.
     """
 
     def __init__(self, weights: dict[CustomerId, float] | None = None) -> None:
@@ -53,32 +53,32 @@
         self._weights = weights
 
     def charge(self, customer: CustomerId, seconds: float, now: float) -> None:
-        """Add ``seconds`` of engine time to the customer's local use."""
+        """Add ``seconds`` of engine time to the customer's local usage."""
         self._add(self._local, customer, seconds, now)
 
     def set_remote(self, usages: list[Usage], now: float) -> None:
-        """Replace what other instances used, as just reported by a home instance."""
+        """Replace the usage at other instances, as reported by a home instance."""
         for usage in usages:
             self._remote[usage.customer] = _Counter(usage.seconds, now)
 
     def read_local(self, now: float) -> list[Usage]:
-        """Return local use of all active customers and drop faded ones."""
+        """Return the local usage of all customers; drops expired entries."""
         result = []
         for customer, counter in list(self._local.items()):
-            seconds = decay(counter.seconds, now - counter.at)
-            if seconds < FORGET_BELOW:
+            seconds = decay(counter.seconds, now - counter.updated_at)
+            if seconds < MIN_USAGE_S:
                 del self._local[customer]
                 continue
             result.append(Usage(customer, seconds))
         return result
 
     def compute_normalized(self, customer: CustomerId, now: float) -> float:
-        """Return fleet-wide use divided by weight: the lowest is served next."""
+        """Return fleet-wide usage divided by weight; the lowest is served next."""
         total = 0.0
         for table in (self._local, self._remote):
             counter = table.get(customer)
             if counter is not None:
-                total += decay(counter.seconds, now - counter.at)
+                total += decay(counter.seconds, now - counter.updated_at)
         return total / self._weights.get(customer, 1.0)
 
     @staticmethod
@@ -92,40 +92,40 @@
         if counter is None:
             table[customer] = _Counter(max(0.0, seconds), now)
             return
-        left = decay(counter.seconds, now - counter.at)
-        counter.seconds = max(0.0, left + seconds)
-        counter.at = max(now, counter.at)
+        remaining = decay(counter.seconds, now - counter.updated_at)
+        counter.seconds = max(0.0, remaining + seconds)
+        counter.updated_at = max(now, counter.updated_at)
 
 
 class UsageHome:
-    """Totals of the customers whose home this instance is.
+    """Usage totals of the customers whose home is this instance.
 
-    Each instance reports its decayed local use; the home answers an instance with
-    the sum of all *other* instances' use, for the customers it asked about.
+    Each instance reports its decayed local usage; the home replies with the sum of
+    all *other* instances' usage, for the customers of the report.
     """
 
     def __init__(self) -> None:
         self._reports: dict[CustomerId, dict[str, _Counter]] = {}
 
     def report(self, instance: str, usages: list[Usage], now: float) -> list[Usage]:
-        """Take one instance's use; return what the others used."""
-        answer = []
+        """Store the usage at one instance; return the usage at all others."""
+        others_usage = []
         for usage in usages:
             reports = self._reports.setdefault(usage.customer, {})
             reports[instance] = _Counter(usage.seconds, now)
             others = sum(
-                decay(counter.seconds, now - counter.at)
+                decay(counter.seconds, now - counter.updated_at)
                 for name, counter in reports.items()
                 if name != instance
             )
-            answer.append(Usage(usage.customer, others))
-        return answer
+            others_usage.append(Usage(usage.customer, others))
+        return others_usage
 
     def forget_faded(self, now: float) -> None:
-        """Drop reports that no longer count."""
+        """Drop expired reports."""
         for customer, reports in list(self._reports.items()):
             for name, counter in list(reports.items()):
-                if decay(counter.seconds, now - counter.at) < FORGET_BELOW:
+                if decay(counter.seconds, now - counter.updated_at) < MIN_USAGE_S:
                     del reports[name]
             if not reports:
                 del self._reports[customer]
--- a/src/scalebend/core/sizes.py
+++ b/src/scalebend/core/sizes.py
@@ -1,4 +1,4 @@
-"""Bytes per token, learned per model from the engines' own counts."""
+"""Bytes per token of each model, learned from the engines' token counts."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from scalebend.models.ids import ModelName
 
 LEARNING_RATE = 0.05
+"""Weight of a new count in the moving average."""
+
 SAFETY_FACTOR = 1.1
-"""Prompts are assumed this much longer than learned, since memory is reserved."""
+"""Overestimates prompts, because memory is reserved by the estimate."""
 
 
 class SizeEstimator:
@@ -19,7 +21,7 @@
         self._bytes_per_token: dict[ModelName, float] = {}
 
     def get_bytes_per_token(self, model: ModelName) -> float:
-        """Learned bytes per token, or the default."""
+        """Return the learned bytes per token, or the default."""
         return self._bytes_per_token.get(model, DEFAULT_BYTES_PER_TOKEN)
 
     def estimate_tokens(self, model: ModelName, size: int) -> int:
@@ -27,9 +29,11 @@
         return math.ceil(size / self.get_bytes_per_token(model) * SAFETY_FACTOR)
 
     def learn(self, model: ModelName, size: int, tokens: int) -> None:
-        """Take one engine's count for a prompt of ``size`` bytes."""
+        """Update the ratio with an engine's count for a prompt of ``size`` bytes."""
         if tokens <= 0 or size <= 0:
             return
-        known = self.get_bytes_per_token(model)
-        ratio = min(16.0, max(1.0, size / tokens))
-        self._bytes_per_token[model] = known + LEARNING_RATE * (ratio - known)
+        current = self.get_bytes_per_token(model)
+        bytes_per_token = min(16.0, max(1.0, size / tokens))
+        self._bytes_per_token[model] = current + LEARNING_RATE * (
+            bytes_per_token - current
+        )
--- a/src/scalebend/core/usage_exchange.py
+++ b/src/scalebend/core/usage_exchange.py
@@ -1,4 +1,4 @@
-"""Customers' use and open requests, added up at the customers' home instances."""
+"""Exchange of usage and open requests with the customers' home instances."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from scalebend.core.shares import ShareLedger, UsageHome
 from scalebend.models.ids import CustomerId, InstanceId
 
-MOST_REPORTS = 4
-"""Homes that get this instance's use in one period; the others take turns."""
+MAX_HOMES_PER_PERIOD = 4
+"""Homes that receive a report per period, in rotation."""
 
 
 class UsageExchange:
-    """Reports to homes, and the home of the customers this instance answers for."""
+    """Sends reports to home instances and is itself the home of some customers."""
 
     def __init__(
         self, me: InstanceId, shares: ShareLedger, admission: AdmissionControl
@@ -25,15 +25,15 @@
         self._homes = ResponsibleTable([me])
         self._live: set[InstanceId] = {me}
         self._open: dict[CustomerId, dict[InstanceId, int]] = {}
-        self._turn = 0
+        self._next_home = 0
 
     def set_instances(self, instances: list[InstanceId]) -> None:
-        """Follow a newer instance list."""
+        """Replace the list of instances."""
         self._homes.set_instances(instances)
         self._live = set(instances)
 
     def build_reports(self, now: float) -> list[ToInstance]:
-        """Tell the next few homes what this instance used and has open."""
+        """Build reports of local usage and open requests for the next homes."""
         self._home.forget_faded(now)
         usages = {usage.customer: usage for usage in self._shares.read_local(now)}
         opens = self._admission.read_open()
@@ -47,32 +47,32 @@
                 report.usages.append(usages[customer])
             if customer in opens:
                 report.open.append(CustomerOpen(customer, opens[customer]))
-        # Homes take turns, so that the cost does not grow with the customers.
+        # Homes rotate, so that the cost per period does not grow with customers.
         ordered = sorted(reports)
-        turn = self._turn % max(1, len(ordered))
-        chosen = (ordered[turn:] + ordered[:turn])[:MOST_REPORTS]
-        self._turn = turn + len(chosen)
+        start = self._next_home % max(1, len(ordered))
+        chosen = (ordered[start:] + ordered[:start])[:MAX_HOMES_PER_PERIOD]
+        self._next_home = start + len(chosen)
         return [ToInstance(home, reports[home]) for home in chosen]
 
     def take_report(
         self, sender: InstanceId, report: UsageReport, now: float
     ) -> ToInstance:
-        """As a home, take an instance's report; answer with what all others have."""
+        """As a home, store a report; reply with the totals of all other instances."""
         usages = self._home.report(sender, report.usages, now)
         opens = []
         for item in report.open:
-            known = self._open.setdefault(item.customer, {})
-            known[sender] = item.open
+            open_counts = self._open.setdefault(item.customer, {})
+            open_counts[sender] = item.open
             others = sum(
                 count
-                for instance, count in known.items()
+                for instance, count in open_counts.items()
                 if instance != sender and instance in self._live
             )
             opens.append(CustomerOpen(item.customer, others))
         return ToInstance(sender, UsageAnswer(usages, opens))
 
     def take_answer(self, answer: UsageAnswer, now: float) -> None:
-        """Take what the others used and have open."""
+        """Apply the totals of the other instances."""
         self._shares.set_remote(answer.usages, now)
         for item in answer.open:
             self._admission.set_fleet_open(item.customer, item.open)
