--- a/src/scalebend/core/orders.py
+++ b/src/scalebend/core/orders.py
@@ -1,10 +1,10 @@
-"""Desired models against reported ones: which engine is told to load what.
+"""Reconciles the configured models with those that engines serve, by load orders.
 
-Only the control leader plans. What an engine serves is read back from its own
-announcements, never assumed from an answer, so an order that is lost, doubled or
-answered late does no harm. Loads are paced over the whole fleet by the weight
-store's limit. The fencing number of an order is the leader's term; for engines that
-ignore it, a new leader first waits until no order of the old one can arrive.
+Only the control leader plans orders. The models that an engine serves are taken from
+its announcements, never from the response to an order, so lost, duplicated or late
+orders are harmless. The weight store's limit paces loads over the whole fleet. The
+fencing number of an order is the leader's term; for engines that ignore it, a new
+leader first waits until no order of the previous leader can arrive.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 logger = structlog.get_logger(__name__)
 
 ORDER_TIMEOUT = 5.0
-"""Seconds after which an order that was sent can no longer arrive."""
+"""Timeout of sending an order, after which it can no longer arrive."""
 
 LEADER_LEASE = 1.5
-"""Seconds after which an unseated leader has noticed and sends nothing."""
+"""Time after which a replaced leader has stopped sending orders."""
 
-READ_BACK_TIME = 60.0
-"""Seconds an engine may take to report what it was told to load."""
+LOAD_REPORT_TIMEOUT_S = 60.0
+"""Time for an engine to announce a model that it was ordered to load."""
 
-PLAN_PERIOD = 0.5
+PLAN_INTERVAL_S = 0.5
 
 
 class _Outstanding(msgspec.Struct, frozen=True):
     order: Order
-    sent: float
+    sent_at: float
 
 
 class OrderPlanner:
-    """Plans orders while this instance leads."""
+    """Plans orders while this instance is the control leader."""
 
     def __init__(self) -> None:
         self._term: Term | None = None
-        self._leads_since = 0.0
-        self._loads = 0.0
-        self._refilled = 0.0
-        self._plan_at = 0.0
-        self._count = 0
+        self._leader_since = 0.0
+        self._available_loads = 0.0
+        self._refilled_at = 0.0
+        self._next_plan_at = 0.0
+        self._order_count = 0
         self._outstanding: dict[UpstreamId, _Outstanding] = {}
 
     def advance(
@@ -61,62 +61,64 @@
         """Return the orders to send now; ``term`` is ``None`` unless leading."""
         if term != self._term:
             self._begin_term(term, now)
-        if term is None or now < self._plan_at:
+        if term is None or now < self._next_plan_at:
             return []
-        self._plan_at = now + PLAN_PERIOD
+        self._next_plan_at = now + PLAN_INTERVAL_S
         self._refill(configuration, now)
-        engines = [record for record in records if _takes_orders(record)]
-        self._read_back(engines, now)
+        engines = [record for record in records if _may_receive_orders(record)]
+        self._drop_settled_orders(engines, now)
         orders = []
         for model in configuration.models:
-            while (order := self._plan(model, configuration, engines, now)) is not None:
+            while (
+                order := self._plan_order(model, configuration, engines, now)
+            ) is not None:
                 orders.append(order)
         return orders
 
     def _begin_term(self, term: Term | None, now: float) -> None:
         self._term = term
-        self._leads_since = now
-        # The old leader may have used up the weight store's limit just now.
-        self._loads = 0.0
-        self._refilled = now
+        self._leader_since = now
+        # The previous leader may have just used up the weight store's limit.
+        self._available_loads = 0.0
+        self._refilled_at = now
         self._outstanding.clear()
 
     def _refill(self, configuration: Configuration, now: float) -> None:
         per_second = configuration.weight_store_loads_per_minute / 60.0
-        accrued = (now - self._refilled) * per_second
-        self._loads = min(1.0, self._loads + accrued)
-        self._refilled = now
+        accrued = (now - self._refilled_at) * per_second
+        self._available_loads = min(1.0, self._available_loads + accrued)
+        self._refilled_at = now
 
-    def _read_back(self, engines: list[UpstreamRecord], now: float) -> None:
+    def _drop_settled_orders(self, engines: list[UpstreamRecord], now: float) -> None:
         reported = {record.view.upstream: record for record in engines}
         for upstream, outstanding in list(self._outstanding.items()):
             record = reported.get(upstream)
-            is_done = record is not None and _has_loaded(record, outstanding.order)
-            is_late = now - outstanding.sent >= READ_BACK_TIME
-            if is_done or is_late or record is None:
+            has_loaded = record is not None and _has_loaded(record, outstanding.order)
+            is_expired = now - outstanding.sent_at >= LOAD_REPORT_TIMEOUT_S
+            if has_loaded or is_expired or record is None:
                 del self._outstanding[upstream]
 
-    def _plan(
+    def _plan_order(
         self,
         model: Model,
         configuration: Configuration,
         engines: list[UpstreamRecord],
         now: float,
     ) -> SendOrder | None:
-        if self._loads < 1.0:
+        if self._available_loads < 1.0:
             return None
-        wanted = LoadedModel(model.model, model.version, sorted(model.adapters))
-        if self._count_serving(wanted, engines) >= model.replicas:
+        wanted_load = LoadedModel(model.model, model.version, sorted(model.adapters))
+        if self._count_serving(wanted_load, engines) >= model.replicas:
             return None
-        choice = self._choose_engine(wanted, configuration, engines, now)
+        choice = self._choose_engine(wanted_load, configuration, engines, now)
         if choice is None:
             return None
-        self._loads -= 1.0
-        self._count += 1
+        self._available_loads -= 1.0
+        self._order_count += 1
         order = Order(
-            f"{self._term}/{self._count}",
+            f"{self._term}/{self._order_count}",
             int(self._term or 0),
-            [wanted],
+            [wanted_load],
             [loaded.model for loaded in choice.announcement.models],
         )
         upstream = choice.view.upstream
@@ -124,39 +126,41 @@
         logger.info(
             "order planned",
             upstream=upstream,
-            model=wanted.model,
-            version=wanted.version,
+            model=wanted_load.model,
+            version=wanted_load.version,
             unload=order.unload,
             fencing_number=order.fencing_number,
         )
         return SendOrder(upstream, order)
 
-    def _count_serving(self, wanted: LoadedModel, engines: list[UpstreamRecord]) -> int:
-        serving = {r.view.upstream for r in engines if _serves(r, wanted)}
-        coming = {
+    def _count_serving(
+        self, wanted_load: LoadedModel, engines: list[UpstreamRecord]
+    ) -> int:
+        serving = {r.view.upstream for r in engines if _serves(r, wanted_load)}
+        pending = {
             upstream
             for upstream, outstanding in self._outstanding.items()
-            if wanted in outstanding.order.load
+            if wanted_load in outstanding.order.load
         }
-        return len(serving | coming)
+        return len(serving | pending)
 
     def _choose_engine(
         self,
-        wanted: LoadedModel,
+        wanted_load: LoadedModel,
         configuration: Configuration,
         engines: list[UpstreamRecord],
         now: float,
     ) -> UpstreamRecord | None:
-        needed = {m.model: m for m in configuration.models if m.replicas > 0}
-        zones = [r.view.availability_zone for r in engines if _serves(r, wanted)]
+        wanted_models = {m.model: m for m in configuration.models if m.replicas > 0}
+        zones = [r.view.availability_zone for r in engines if _serves(r, wanted_load)]
         best: tuple[tuple[int, int, str], UpstreamRecord] | None = None
         for record in engines:
             upstream = record.view.upstream
-            if upstream in self._outstanding or _serves(record, wanted):
+            if upstream in self._outstanding or _serves(record, wanted_load):
                 continue
-            if not self._may_order(record, configuration, now):
+            if not self._may_send_order(record, configuration, now):
                 continue
-            cost = self._compute_cost(record, wanted, needed, engines)
+            cost = self._compute_cost(record, wanted_load, wanted_models, engines)
             if cost is None:
                 continue
             rank = (cost, zones.count(record.view.availability_zone), upstream)
@@ -164,7 +168,7 @@
                 best = (rank, record)
         return best[1] if best is not None else None
 
-    def _may_order(
+    def _may_send_order(
         self, record: UpstreamRecord, configuration: Configuration, now: float
     ) -> bool:
         if record.announcement.fencing_number > (self._term or 0):
@@ -173,45 +177,47 @@
         kind = kinds.get(record.announcement.kind)
         if kind is not None and kind.checks_fencing:
             return True
-        return now - self._leads_since >= LEADER_LEASE + ORDER_TIMEOUT
+        return now - self._leader_since >= LEADER_LEASE + ORDER_TIMEOUT
 
     def _compute_cost(
         self,
         record: UpstreamRecord,
-        wanted: LoadedModel,
-        needed: dict[ModelName, Model],
+        wanted_load: LoadedModel,
+        wanted_models: dict[ModelName, Model],
         engines: list[UpstreamRecord],
     ) -> int | None:
-        """Rank of giving up what the engine serves; ``None`` when it must not."""
-        loaded = [m for m in record.announcement.models if m.model in needed]
+        """Return the cost of unloading the engine's models; ``None`` if not allowed."""
+        loaded = [m for m in record.announcement.models if m.model in wanted_models]
         if not loaded:
             return 0
         zone = record.view.availability_zone
-        if any(self._is_last(m.model, zone, record, engines) for m in loaded):
-            has_other_way = any(
-                not _serves_any(r, needed) and r.view.upstream not in self._outstanding
+        if any(self._is_last_in_zone(m.model, zone, record, engines) for m in loaded):
+            has_alternative = any(
+                not _serves_any(r, wanted_models)
+                and r.view.upstream not in self._outstanding
                 for r in engines
             )
-            if has_other_way or self._has_peer(record, engines):
+            if has_alternative or self._has_pending_change(record, engines):
                 return None
-            is_upgrade = [m.model for m in loaded] == [wanted.model]
-            may_go = is_upgrade or self._is_surplus(loaded, needed, engines)
+            is_upgrade = [m.model for m in loaded] == [wanted_load.model]
+            may_go = is_upgrade or self._is_surplus(loaded, wanted_models, engines)
             return 3 if may_go else None
-        if all(m.model == wanted.model for m in loaded):
+        if all(m.model == wanted_load.model for m in loaded):
             return 1
-        return 2 if self._is_surplus(loaded, needed, engines) else None
+        return 2 if self._is_surplus(loaded, wanted_models, engines) else None
 
     def _is_surplus(
         self,
         loaded: list[LoadedModel],
-        needed: dict[ModelName, Model],
+        wanted_models: dict[ModelName, Model],
         engines: list[UpstreamRecord],
     ) -> bool:
         return all(
-            self._count_all(m.model, engines) > needed[m.model].replicas for m in loaded
+            self._count_all(m.model, engines) > wanted_models[m.model].replicas
+            for m in loaded
         )
 
-    def _is_last(
+    def _is_last_in_zone(
         self,
         model: ModelName,
         zone: AvailabilityZone,
@@ -226,8 +232,10 @@
             for other in engines
         )
 
-    def _has_peer(self, record: UpstreamRecord, engines: list[UpstreamRecord]) -> bool:
-        """Whether another engine of the zone is being changed and will serve soon."""
+    def _has_pending_change(
+        self, record: UpstreamRecord, engines: list[UpstreamRecord]
+    ) -> bool:
+        """Whether an order for another engine of the availability zone is pending."""
         return any(
             other is not record
             and other.view.availability_zone == record.view.availability_zone
@@ -243,23 +251,23 @@
         )
 
 
-def _takes_orders(record: UpstreamRecord) -> bool:
+def _may_receive_orders(record: UpstreamRecord) -> bool:
     announcement = record.announcement
     is_engine = announcement.family is UpstreamKindName.ENGINE
     return is_engine and announcement.state is UpstreamState.SERVING
 
 
-def _serves(record: UpstreamRecord, wanted: LoadedModel) -> bool:
+def _serves(record: UpstreamRecord, wanted_load: LoadedModel) -> bool:
     return any(
-        loaded.model == wanted.model
-        and loaded.version == wanted.version
-        and set(wanted.adapters) <= set(loaded.adapters)
+        loaded.model == wanted_load.model
+        and loaded.version == wanted_load.version
+        and set(wanted_load.adapters) <= set(loaded.adapters)
         for loaded in record.announcement.models
     )
 
 
-def _serves_any(record: UpstreamRecord, needed: dict[ModelName, Model]) -> bool:
-    return any(loaded.model in needed for loaded in record.announcement.models)
+def _serves_any(record: UpstreamRecord, wanted_models: dict[ModelName, Model]) -> bool:
+    return any(loaded.model in wanted_models for loaded in record.announcement.models)
 
 
 def _has_loaded(record: UpstreamRecord, order: Order) -> bool:
--- a/src/scalebend/core/rendezvous.py
+++ b/src/scalebend/core/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: which instance is responsible for a name.
+"""Rendezvous hashing: maps a name to the instance responsible for it.
 
-Every instance computes the same answer from the same list. When an instance joins
-or leaves, only the names that it gains or loses change hands.
+All instances compute the same result from the same list. When an instance joins or
+leaves, only the names that it gains or loses are reassigned.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 def find_responsible(name: str, instances: Iterable[InstanceId]) -> InstanceId | None:
-    """Return the responsible instance, or ``None`` of an empty list."""
-    heaviest = _find_heaviest(name, instances)
-    return heaviest[1] if heaviest is not None else None
+    """Return the responsible instance, or ``None`` for an empty list."""
+    highest = _find_highest(name, instances)
+    return highest[1] if highest is not None else None
 
 
-def _find_heaviest(name: str, instances: Iterable[InstanceId]) -> Weight | None:
+def _find_highest(name: str, instances: Iterable[InstanceId]) -> Weight | None:
     return max((_weigh(name, instance) for instance in instances), default=None)
 
 
@@ -31,31 +31,31 @@
 
 
 class ResponsibleTable:
-    """Remembers who is responsible; a new list costs only what it changes."""
+    """Caches the responsible instances; updates them as the list changes."""
 
     def __init__(self, instances: Iterable[InstanceId]) -> None:
         self._instances = frozenset(instances)
-        self._heaviest: dict[str, Weight | None] = {}
+        self._highest: dict[str, Weight | None] = {}
 
     def find(self, name: str) -> InstanceId | None:
-        """The instance responsible for ``name``."""
-        if name not in self._heaviest:
-            self._heaviest[name] = _find_heaviest(name, self._instances)
-        heaviest = self._heaviest[name]
-        return heaviest[1] if heaviest is not None else None
+        """Return the instance responsible for ``name``; ``None`` if there are none."""
+        if name not in self._highest:
+            self._highest[name] = _find_highest(name, self._instances)
+        highest = self._highest[name]
+        return highest[1] if highest is not None else None
 
     def set_instances(self, instances: Iterable[InstanceId]) -> None:
-        """Follow a newer list."""
+        """Replace the list of instances."""
         old = self._instances
         self._instances = frozenset(instances)
         added = self._instances - old
-        for name, heaviest in self._heaviest.items():
-            if heaviest is None or heaviest[1] not in self._instances:
-                self._heaviest[name] = _find_heaviest(name, self._instances)
+        for name, highest in self._highest.items():
+            if highest is None or highest[1] not in self._instances:
+                self._highest[name] = _find_highest(name, self._instances)
                 continue
-            rivals = [_weigh(name, instance) for instance in added]
-            self._heaviest[name] = max([heaviest, *rivals])
+            candidates = [_weigh(name, instance) for instance in added]
+            self._highest[name] = max([highest, *candidates])
 
     def forget(self, name: str) -> None:
-        """The name is not used any more."""
-        self._heaviest.pop(name, None)
+        """Remove a name that is no longer used from the cache."""
+        self._highest.pop(name, None)
--- a/src/scalebend/core/routing.py
+++ b/src/scalebend/core/routing.py
@@ -1,9 +1,8 @@
 """Choice of the replica for one request.
 
-The score of a replica is the time to first token that the request would see there,
-plus the delay it would cause to others, both in seconds; the lowest wins. Digests
-lag, so each choice is added to the digest at once and taken back when a newer
-digest arrives.
+A replica's score is the predicted time to first token of the request plus the delay
+that it would cause to others, in seconds; the lowest wins. Load digests lag behind, so
+requests sent since the last digest are counted as pending load.
 """
 
 from __future__ import annotations
@@ -17,24 +16,24 @@
 from scalebend.models.upstream import EngineRole
 from scalebend.models.work import LoadDigest, ReplicaView
 
-MOST_CANDIDATES = 16
-"""Replicas scored for one request; the rest are left out by a seeded sample."""
+MAX_CANDIDATES = 16
+"""Replicas scored for one request; larger lists are sampled."""
 
-ZONE_PENALTY = 0.003
-"""Seconds added for another availability zone: its round trip, rounded up."""
+ZONE_PENALTY_S = 0.003
+"""Added for another availability zone: a round trip, rounded up."""
 
-REGION_PENALTY = 0.1
-"""Seconds added for another region."""
+REGION_PENALTY_S = 0.1
+"""Added for another region."""
 
 DELAY_WEIGHT = 0.15
-"""Weight of the delay caused to one decoding attempt by a second of prefill."""
+"""Share of a prefill's duration that delays each decoding attempt."""
 
-MEMORY_PENALTY = 2.0
-"""Seconds added when the replica's free memory is too small now."""
+MEMORY_PENALTY_S = 2.0
+"""Added if the replica currently has too little free memory."""
 
 
 class Candidate(msgspec.Struct):
-    """One replica that could take the request, with its newest digest."""
+    """A replica that could serve the request, with its latest load digest."""
 
     view: ReplicaView
     digest: LoadDigest
@@ -43,7 +42,7 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The chosen replica and why; ``score`` and ``prefill_seconds`` in seconds."""
+    """The chosen replica and the reason; ``score`` is in seconds."""
 
     upstream: UpstreamId
     score: float
@@ -55,29 +54,29 @@
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What a request needs from a replica, in tokens."""
+    """Prompt size and memory that a request needs, in tokens."""
 
     prompt_tokens: int
     memory_tokens: int
 
 
 class PendingLoad:
-    """Load this instance sent out since the last digest of each replica."""
+    """Load that this instance sent to each replica since its last digest."""
 
     def __init__(self) -> None:
         self._tokens: dict[UpstreamId, tuple[int, int]] = {}
 
     def add(self, upstream: UpstreamId, prefill_tokens: int) -> None:
-        """Note that a request was routed to the replica."""
+        """Record that a request was sent to the replica."""
         tokens, count = self._tokens.get(upstream, (0, 0))
         self._tokens[upstream] = (tokens + prefill_tokens, count + 1)
 
     def forget(self, upstream: UpstreamId) -> None:
-        """A newer digest includes what was sent."""
+        """Drop the pending load, which a newer digest includes."""
         self._tokens.pop(upstream, None)
 
     def get(self, upstream: UpstreamId) -> tuple[int, int]:
-        """Prefill tokens and requests sent since the last digest."""
+        """Return prefill tokens and requests sent since the last digest."""
         return self._tokens.get(upstream, (0, 0))
 
 
@@ -85,35 +84,42 @@
     candidates: list[Candidate],
     zone: AvailabilityZone,
     cached: dict[UpstreamId, int],
-    chooser: random.Random,
+    rng: random.Random,
 ) -> list[Candidate]:
-    """Bound the candidates: all with a cached prefix, then of the own zone first."""
-    if len(candidates) <= MOST_CANDIDATES:
+    """Limit the candidates: those with a cached prefix, then a sample of the others.
+
+    The sample prefers the availability zone ``zone``.
+    """
+    if len(candidates) <= MAX_CANDIDATES:
         return candidates
     kept: list[Candidate] = []
     rest = candidates
     if cached:
         kept = [c for c in candidates if c.view.upstream in cached]
-        kept = kept[: MOST_CANDIDATES // 2]
+        kept = kept[: MAX_CANDIDATES // 2]
         names = {candidate.view.upstream for candidate in kept}
         rest = [c for c in candidates if c.view.upstream not in names]
-    near: list[Candidate] = []
-    far: list[Candidate] = []
+    same_zone: list[Candidate] = []
+    other_zones: list[Candidate] = []
     for candidate in rest:
-        is_near = candidate.view.availability_zone == zone
-        (near if is_near else far).append(candidate)
-    room = MOST_CANDIDATES - len(kept)
-    near = _take_some(near, room * 2 // 3, chooser)
-    return kept + near + _take_some(far, room - len(near), chooser)
+        is_same_zone = candidate.view.availability_zone == zone
+        (same_zone if is_same_zone else other_zones).append(candidate)
+    free_places = MAX_CANDIDATES - len(kept)
+    same_zone = _sample_adjacent(same_zone, free_places * 2 // 3, rng)
+    return (
+        kept
+        + same_zone
+        + _sample_adjacent(other_zones, free_places - len(same_zone), rng)
+    )
 
 
-def _take_some(
-    candidates: list[Candidate], count: int, chooser: random.Random
+def _sample_adjacent(
+    candidates: list[Candidate], count: int, rng: random.Random
 ) -> list[Candidate]:
-    """Return neighbours from a random place on: as good as a sample, and cheaper."""
+    """Return adjacent candidates from a random start; cheaper than a full sample."""
     if len(candidates) <= count:
         return candidates
-    start = chooser.randrange(len(candidates))
+    start = rng.randrange(len(candidates))
     return (candidates[start:] + candidates[:start])[:count]
 
 
@@ -125,26 +131,34 @@
     cached: dict[UpstreamId, int],
     pending: PendingLoad,
 ) -> Choice | None:
-    """Return the best replica, or ``None`` when there is no candidate."""
+    """Return the replica with the lowest score; ``None`` if none has the memory."""
     best: Choice | None = None
     for candidate in candidates:
         upstream = candidate.view.upstream
         if demand.memory_tokens > candidate.view.memory_tokens:
             continue
-        hit = min(cached.get(upstream, 0), demand.prompt_tokens)
-        prefill = demand.prompt_tokens - hit
-        score = _score(demand, prefill, candidate, zone, pending.get(upstream))
+        cached_tokens = min(cached.get(upstream, 0), demand.prompt_tokens)
+        prefill_tokens = demand.prompt_tokens - cached_tokens
+        score = _score(demand, prefill_tokens, candidate, zone, pending.get(upstream))
         if best is None or (score, upstream) < (best.score, best.upstream):
-            reason = "cached-prefix" if hit else "least-delay"
-            seconds = prefill / candidate.view.prefill_rate
+            reason = "cached-prefix" if cached_tokens else "least-delay"
+            prefill_seconds = prefill_tokens / candidate.view.prefill_rate
             count = len(candidates)
-            best = Choice(upstream, score, prefill, seconds, hit, count, reason)
+            best = Choice(
+                upstream,
+                score,
+                prefill_tokens,
+                prefill_seconds,
+                cached_tokens,
+                count,
+                reason,
+            )
     return best
 
 
 def _score(
     demand: Demand,
-    prefill: int,
+    prefill_tokens: int,
     candidate: Candidate,
     zone: AvailabilityZone,
     pending: tuple[int, int],
@@ -152,21 +166,21 @@
     view = candidate.view
     digest = candidate.digest
     sent_tokens, sent_count = pending
-    own = prefill / view.prefill_rate
-    # The engine prefills a smaller prompt before the larger ones it holds; those
-    # still delay it by the chunk that runs, and stretch the steps of its answer.
-    ahead = digest.count_ahead(compute_size_class(prefill)) + sent_tokens
+    own = prefill_tokens / view.prefill_rate
+    # The engine prefills smaller prompts first. Larger ones still delay the request
+    # by the chunk in progress, and lengthen its decode steps.
+    ahead = digest.count_ahead(compute_size_class(prefill_tokens)) + sent_tokens
     behind = digest.count_all() - ahead
     score = own + ahead / view.prefill_rate
     score += DELAY_WEIGHT * max(0, behind) / view.prefill_rate
     score += DELAY_WEIGHT * own * (digest.decoding + sent_count)
     score += (digest.decoding + sent_count) * view.step_time * 0.05
     if demand.memory_tokens > digest.free_tokens:
-        score += MEMORY_PENALTY
+        score += MEMORY_PENALTY_S
     if not candidate.is_local_region:
-        return score + REGION_PENALTY
+        return score + REGION_PENALTY_S
     if view.availability_zone != zone:
-        return score + ZONE_PENALTY
+        return score + ZONE_PENALTY_S
     return score
 
 
@@ -177,9 +191,9 @@
     zone: AvailabilityZone,
     pending: PendingLoad,
 ) -> Choice | None:
-    """Return the replica with the shortest steps that has room.
+    """Return the replica with the shortest batch steps that has enough memory.
 
-    ``zone`` is where the KV cache comes from.
+    ``zone`` is the availability zone that the KV cache is transferred from.
     """
     best: Choice | None = None
     for candidate in candidates:
@@ -192,9 +206,9 @@
         if digest.prefill_tokens or digest.queued_tokens:
             score += digest.count_all() / view.prefill_rate
         if memory_tokens > digest.free_tokens:
-            score += MEMORY_PENALTY
+            score += MEMORY_PENALTY_S
         if view.availability_zone != zone:
-            score += ZONE_PENALTY
+            score += ZONE_PENALTY_S
         if best is None or (score, view.upstream) < (best.score, best.upstream):
             count = len(candidates)
             best = Choice(view.upstream, score, 0, 0.0, 0, count, "shortest-steps")
@@ -202,12 +216,12 @@
 
 
 def choose_group(
-    demand: Demand, candidates: list[Candidate], most: int
+    demand: Demand, candidates: list[Candidate], max_replicas: int
 ) -> list[UpstreamId]:
-    """Return the fewest replicas whose memory together fits, least loaded first.
+    """Return the smallest group with enough memory, of the least loaded replicas.
 
-    The result is sorted by name: every instance reserves in this global order, so
-    that two prompts can never wait for each other. Empty when nothing fits.
+    The result is sorted by name: every instance reserves in this global order, which
+    prevents deadlocks between two prompts. Empty if no group has enough memory.
     """
     by_load = sorted(
         candidates,
@@ -217,7 +231,7 @@
             c.view.upstream,
         ),
     )
-    for size in range(2, most + 1):
+    for size in range(2, max_replicas + 1):
         group = by_load[:size]
         smallest = min((c.view.memory_tokens for c in group), default=0)
         if len(group) == size and smallest * size >= demand.memory_tokens:
