--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: paced, fenced, and never the last replica of a zone."""
+"""Orders to engines: pacing, fencing, last replica of an availability zone."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
@@ -9,7 +9,7 @@
 from scalebend.models.upstream import LoadedModel
 from tests.lib.builders import build_announcement
 
-WAIT = LEADER_LEASE + ORDER_TIMEOUT
+NEW_LEADER_DELAY_S = LEADER_LEASE + ORDER_TIMEOUT
 
 
 def build_configuration(*models, loads=6_000.0, checks=True):
@@ -46,7 +46,7 @@
             )
             self.catalog.take_announcement(announcement, 0.0)
 
-    def obey(self, sent, checks=True):
+    def execute(self, sent, checks=True):
         order = sent.order
         if checks and order.fencing_number < self.fencing[sent.upstream]:
             return False
@@ -70,7 +70,7 @@
         now += 0.5
         for sent in fleet.plan(planner, configuration, now, term):
             orders.append((now, sent))
-            fleet.obey(sent)
+            fleet.execute(sent)
     return orders
 
 
@@ -78,7 +78,7 @@
 M2 = LoadedModel("m2")
 
 
-def test_empty_engines_are_filled_over_the_zones():
+def test_empty_engines_are_loaded_across_availability_zones():
     fleet = Fleet([[], [], [], []])
     run(fleet, OrderPlanner(), build_configuration(Model("m1", replicas=2)), 20.0)
     serving = [name for name, loaded in fleet.models.items() if loaded]
@@ -93,7 +93,7 @@
     assert 5 <= len(orders) <= 6
 
 
-def test_last_replica_of_a_zone_is_kept_while_there_is_another_way():
+def test_last_replica_of_a_zone_is_kept_if_there_is_an_alternative():
     fleet = Fleet([[M1], [M1], [M1], []], zones=("a", "b", "b", "b"))
     configuration = build_configuration(
         Model("m1", replicas=2), Model("m2", replicas=1)
@@ -115,7 +115,9 @@
             zone = fleet.zones[sent.upstream]
             fleet.models[sent.upstream] = []
             others = [n for n, z in fleet.zones.items() if z == zone]
-            assert any(fleet.models[n] for n in others), "a zone serves nothing"
+            assert any(fleet.models[n] for n in others), (
+                "an availability zone serves nothing"
+            )
             fleet.models[sent.upstream] = [new]
     assert all(loaded == [new] for loaded in fleet.models.values())
 
@@ -123,25 +125,25 @@
 def test_new_leader_waits_for_engines_that_ignore_fencing():
     configuration = build_configuration(Model("m1", replicas=1), checks=False)
     orders = run(Fleet([[]]), OrderPlanner(), configuration, 20.0)
-    assert orders[0][0] >= WAIT
+    assert orders[0][0] >= NEW_LEADER_DELAY_S
     checked = build_configuration(Model("m1", replicas=1))
-    assert run(Fleet([[]]), OrderPlanner(), checked, 20.0)[0][0] < WAIT
+    assert run(Fleet([[]]), OrderPlanner(), checked, 20.0)[0][0] < NEW_LEADER_DELAY_S
 
 
-def test_engine_that_saw_a_higher_number_gets_no_order():
+def test_engine_with_a_higher_fencing_number_gets_no_order():
     fleet = Fleet([[]])
     fleet.fencing["e0"] = 9
     configuration = build_configuration(Model("m1", replicas=1))
     assert run(fleet, OrderPlanner(), configuration, 20.0, term=3) == []
 
 
-def test_only_a_leader_orders():
+def test_only_the_leader_sends_orders():
     fleet = Fleet([[]])
     configuration = build_configuration(Model("m1", replicas=1))
     assert run(fleet, OrderPlanner(), configuration, 20.0, term=None) == []
 
 
-def test_last_replica_waits_for_an_empty_engine_that_may_soon_be_ordered():
+def test_last_replica_is_kept_until_an_empty_engine_may_be_ordered():
     fleet = Fleet([[M1], []], zones=("a",), kinds={"e1": "ignores"})
     configuration = build_configuration(Model("m1", "2", replicas=1))
     orders = run(fleet, OrderPlanner(), configuration, 20.0)
@@ -149,7 +151,7 @@
     assert fleet.models["e0"] == [M1]
 
 
-def test_surplus_last_replica_is_given_up_when_there_is_no_other_way():
+def test_surplus_last_replica_is_unloaded_without_an_alternative():
     fleet = Fleet([[M1], [M1]])
     configuration = build_configuration(
         Model("m1", replicas=1), Model("m2", replicas=1)
@@ -159,11 +161,11 @@
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Two leaders in turn; orders lost, doubled, reordered, late.
+    """Successive leaders, with orders lost, duplicated, reordered or late.
 
-    The oracle: a checking engine never follows an older leader after a newer one,
-    loads stay under the weight store's limit in any minute, and after a calm time
-    every model has its replicas.
+    Checked: an engine that checks fencing never executes an order of an older leader
+    after one of a newer leader, loads in any minute stay within the weight store's
+    limit, and without faults every model finally has its replicas.
     """
 
     LOADS = 60.0
@@ -174,7 +176,7 @@
         self.fleet = Fleet([[M1], [M1], [], [M2], [], []])
         self.planner = OrderPlanner()
         self.term = 1
-        self.flights = []
+        self.in_flight = []
         self.sent = []
         self.configuration = build_configuration(
             Model("m1", replicas=2), Model("m2", replicas=2), loads=self.LOADS
@@ -200,19 +202,19 @@
             self.planner, self.configuration, self.now, self.term
         ):
             assert sent.order.fencing_number == self.term
-            self.flights.append(sent)
+            self.in_flight.append(sent)
             self.sent.append(self.now)
 
     @rule(position=st.integers(0, 9), keep=st.booleans(), lose=st.booleans())
     def deliver(self, position, keep, lose):
-        if self.flights:
-            position %= len(self.flights)
-            sent = self.flights[position]
+        if self.in_flight:
+            position %= len(self.in_flight)
+            sent = self.in_flight[position]
             if not keep:
-                del self.flights[position]
+                del self.in_flight[position]
             if not lose:
                 before = self.fleet.fencing[sent.upstream]
-                if self.fleet.obey(sent):
+                if self.fleet.execute(sent):
                     assert sent.order.fencing_number >= before
 
     @invariant()
@@ -224,7 +226,7 @@
     def teardown(self):
         if not hasattr(self, "fleet"):
             return
-        self.flights.clear()
+        self.in_flight.clear()
         self.term += 1
         run(
             self.fleet,
--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_sharing.py
@@ -1,4 +1,4 @@
-"""Shares, limits, claims, retries, lanes and prefixes."""
+"""Fair shares, limits, idempotency claims, retries, lanes, routing and prefixes."""
 
 import random
 
@@ -47,21 +47,21 @@
         ledger.charge("a", 10.0 * (number + 1), 0.0)
     for name, ledger in list(ledgers.items()) * 2:
         ledger.set_remote(home.report(name, ledger.read_local(1.0), 1.0), 1.0)
-    uses = [ledger.compute_normalized("a", 1.0) for ledger in ledgers.values()]
-    assert uses == pytest.approx([60.0 / 2 * 0.5 ** (1 / HALF_LIFE)] * 3)
+    usages = [ledger.compute_normalized("a", 1.0) for ledger in ledgers.values()]
+    assert usages == pytest.approx([60.0 / 2 * 0.5 ** (1 / HALF_LIFE)] * 3)
 
 
-def test_use_of_a_lost_instance_fades():
+def test_usage_of_a_lost_instance_decays():
     home = UsageHome()
     home.report("gone", [Usage("a", 8.0)], 0.0)
-    (answer,) = home.report("here", [Usage("a", 1.0)], HALF_LIFE)
-    assert answer.seconds == pytest.approx(4.0)
+    (others_usage,) = home.report("here", [Usage("a", 1.0)], HALF_LIFE)
+    assert others_usage.seconds == pytest.approx(4.0)
     home.forget_faded(HALF_LIFE * 20)
     assert home.report("here", [Usage("a", 1.0)], HALF_LIFE * 20)[0].seconds == 0.0
 
 
 @given(st.lists(st.tuples(st.floats(-5, 50), st.floats(-10, 10)), max_size=30))
-def test_use_is_never_negative_and_survives_a_clock_step(charges):
+def test_usage_is_never_negative_after_clock_steps(charges):
     ledger = ShareLedger()
     now = 0.0
     for seconds, step in charges:
@@ -70,7 +70,7 @@
         assert ledger.compute_normalized("a", now) >= 0.0
 
 
-def test_rate_limit_refuses_with_a_time_to_return():
+def test_rate_limit_refusal_has_a_retry_time():
     admission = AdmissionControl()
     admission.set_limits({"a": CustomerLimits(requests_per_second=2.0)})
     for number in range(4):
@@ -101,7 +101,7 @@
     admission.admit("r5", "b", 1, 0.0)
 
 
-def test_claim_is_taken_once_and_tells_what_is_known():
+def test_claim_is_taken_once_and_returns_the_known_state():
     table = ClaimTable()
     assert table.apply(Claim("c", "k", "f", "r1"), 0.0) == ClaimTaken()
     assert table.apply(Claim("c", "k", "f", "r1"), 0.0) == ClaimTaken()
@@ -114,7 +114,7 @@
     assert known == ClaimKnown(ClaimState.SETTLED, ANSWER)
 
 
-def test_claim_committed_after_its_withdrawal_does_not_take():
+def test_claim_committed_after_its_withdrawal_is_not_taken():
     table = ClaimTable()
     table.apply(Withdraw("c", "k", "r1"), 0.0)
     assert table.apply(Claim("c", "k", "f", "r1"), 0.0) != ClaimTaken()
@@ -132,7 +132,7 @@
     assert len(table) == 2
 
 
-def test_leaders_clock_that_jumps_expires_no_claims():
+def test_clock_jump_of_the_leader_expires_no_claims():
     state = ControlState()
     state.apply(encode_command(Claim("c", "k", "f", "r1")), 1_000.0)
     state.apply(
@@ -145,7 +145,7 @@
     assert copy.export() == state.export()
 
 
-def test_outlier_is_set_aside_and_probed_by_one_request():
+def test_outlier_is_ejected_and_probed_by_one_request():
     outliers = OutlierDetector()
     assert not outliers.record_failure("e", 0.0)
     assert not outliers.record_failure("e", 0.0)
@@ -161,7 +161,7 @@
     assert outliers.is_usable("e", 6.3)
 
 
-def test_delays_grow_and_vary():
+def test_retry_delays_grow_and_vary():
     chooser = random.Random(1)
     delays = [max(compute_delay(t, chooser) for _ in range(50)) for t in (1, 3, 9)]
     assert delays[0] < 0.05 < delays[1] < delays[2] <= 2.0
@@ -172,7 +172,7 @@
     return Candidate(view, build_idle_digest(view), True, role)
 
 
-def test_lanes_are_the_same_for_every_order_and_follow_the_load():
+def test_lanes_ignore_candidate_order_and_follow_the_load():
     candidates = [build_candidate(f"engine-{n}") for n in range(10)]
     lanes = split_lanes(candidates, 0.6)
     other = split_lanes(list(reversed(candidates)), 0.6)
@@ -184,7 +184,7 @@
     assert not few.is_split and few.prefill == few.decode
 
 
-def test_engine_of_one_role_stays_in_it():
+def test_engine_with_a_single_role_keeps_it():
     candidates = [build_candidate(f"e{n}") for n in range(4)]
     candidates.append(build_candidate("p", EngineRole.PREFILL))
     candidates.append(build_candidate("d", EngineRole.DECODE))
@@ -242,7 +242,7 @@
     assert cached == {"e1": 1_024, "e2": 512}
 
 
-def test_gap_in_cache_events_forgets_the_replica():
+def test_gap_in_cache_events_drops_the_replica():
     index = PrefixIndex()
     index.take_event("e", CacheEvent(1, [11, 12]))
     index.take_event("e", CacheEvent(1, [99]))
@@ -260,7 +260,7 @@
     assert len(index) == 10
 
 
-def test_only_the_names_of_a_lost_instance_move():
+def test_only_names_of_a_lost_instance_are_reassigned():
     names = [f"upstream-{n}" for n in range(300)]
     instances = [f"i{n}" for n in range(9)]
     before = {name: find_responsible(name, instances) for name in names}
