--- a/src/scalebend/core/admission.py
+++ b/src/scalebend/core/admission.py
@@ -34,17 +34,17 @@
     open: dict[RequestId, int]
     requests: _Bucket | None = None
     tokens: _Bucket | None = None
-    fleet_open: int = 0
+    open_elsewhere: int = 0
 
 
 class AdmissionControl:
     """Request rate, token rate and concurrency limits at one instance.
 
-    ``instances`` is the number of instances among which rate limits are divided.
+    ``instance_count`` is the number of instances among which rate limits are divided.
     """
 
     def __init__(self) -> None:
-        self.instances = 1
+        self.instance_count = 1
         self._limits: dict[CustomerId, CustomerLimits] = {}
         self._states: dict[CustomerId, _CustomerState] = {}
 
@@ -55,16 +55,16 @@
             if not self._states[customer].open:
                 del self._states[customer]
 
-    def set_fleet_open(self, customer: CustomerId, others: int) -> None:
+    def set_open_elsewhere(self, customer: CustomerId, others: int) -> None:
         """Set the customer's open requests at other instances, as last reported."""
-        self._get_state(customer).fleet_open = others
+        self._get_state(customer).open_elsewhere = others
 
     def count_open(self, customer: CustomerId) -> int:
         """Return the number of the customer's open requests at this instance."""
         state = self._states.get(customer)
         return len(state.open) if state else 0
 
-    def read_open(self) -> dict[CustomerId, int]:
+    def count_open_by_customer(self) -> dict[CustomerId, int]:
         """Return the open requests at this instance by customer, without zeros."""
         return {
             customer: len(state.open)
@@ -106,7 +106,7 @@
     def _check_concurrency(self, limits: CustomerLimits, state: _CustomerState) -> None:
         if limits.concurrency is None:
             return
-        if len(state.open) + state.fleet_open >= limits.concurrency:
+        if len(state.open) + state.open_elsewhere >= limits.concurrency:
             raise RefusedError(
                 f"{limits.concurrency} requests of this customer are open",
                 kind=ErrorKind.CUSTOMER_LIMIT,
@@ -118,7 +118,7 @@
     ) -> _Bucket | None:
         if rate is None:
             return None
-        share = rate / self.instances
+        share = rate / self.instance_count
         if bucket is None:
             return _Bucket(level=share * BURST_S, updated_at=now)
         bucket.refill(share, now)
@@ -129,7 +129,7 @@
     ) -> None:
         if bucket is None or rate is None or bucket.level > 0.0:
             return
-        retry_after = (1.0 - bucket.level) / (rate / self.instances)
+        retry_after = (1.0 - bucket.level) / (rate / self.instance_count)
         raise RefusedError(
             f"the limit of {rate:g} {unit} is reached",
             kind=ErrorKind.CUSTOMER_LIMIT,
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -33,7 +33,7 @@
     StartAttempt,
     ToOwner,
 )
-from scalebend.core.placement import MOST_GROUP, Placement
+from scalebend.core.placement import MAX_GROUP_REPLICAS, Placement
 from scalebend.core.queueing import FirstCome, Strategy, compute_size_class
 from scalebend.core.retries import RetryBudget, compute_delay
 from scalebend.exceptions import (
@@ -233,10 +233,10 @@
                 error = UpstreamError(detail, kind=ErrorKind.UPSTREAM_GARBLED)
                 return self._fail_attempt(flow, error, now, Outcome.ABANDONED)
 
-    def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
+    def record_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
         """A replica turned a request away, and wants nothing for ``seconds``."""
         logger.info("backoff heard", upstream=upstream, seconds=seconds)
-        self.placement.note_backoff(upstream, seconds, now)
+        self.placement.record_backoff(upstream, seconds, now)
 
     def cancel(self, request: RequestId, now: float) -> list[EntryAction]:
         """The caller went away; give back what its request held."""
@@ -500,7 +500,7 @@
             )
         elif serving and request.model is not None:
             error = RefusedError(
-                f"{request.memory_tokens} tokens fit no {MOST_GROUP} engines",
+                f"{request.memory_tokens} tokens fit no {MAX_GROUP_REPLICAS} engines",
                 kind=ErrorKind.PROMPT_TOO_LONG,
             )
         else:
--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -49,7 +49,7 @@
     PeerMessage,
     ProposalAnswer,
     Published,
-    UsageAnswer,
+    UsageReply,
     UsageReport,
 )
 from scalebend.core.orders import OrderPlanner
@@ -340,9 +340,9 @@
             case Fetch() if self.control is None:
                 return self._answer_fetch(sender, message)
             case UsageReport():
-                return [self.usage.take_report(sender, message, now)]
-            case UsageAnswer():
-                self.usage.take_answer(message, now)
+                return [self.usage.receive_report(sender, message, now)]
+            case UsageReply():
+                self.usage.receive_reply(message, now)
             case Handover(upstream, renew):
                 owner = self.owners.get(upstream)
                 if owner is not None:
@@ -534,7 +534,7 @@
 
     def _follow_list(self, now: float) -> list[_Step]:
         listed = self.instances
-        self.admission.instances = max(1, len(listed.instances))
+        self.admission.instance_count = max(1, len(listed.instances))
         self.catalog.set_local_zones(
             {
                 item.availability_zone
--- a/src/scalebend/core/lanes.py
+++ b/src/scalebend/core/lanes.py
@@ -41,16 +41,16 @@
     """A model's candidates by lane.
 
     Without a split, engines that announce both roles are in both lanes.
-    ``most_memory`` is the largest KV cache memory of a decode engine in tokens; 0
+    ``max_memory_tokens`` is the largest KV cache memory of a decode engine in tokens; 0
     without a split.
     """
 
     prefill: list[Candidate]
     decode: list[Candidate]
     is_split: bool
-    most_memory: int = 0
+    max_memory_tokens: int = 0
 
-    def list_for_long(self, long_share: float) -> list[Candidate]:
+    def list_for_long_prompts(self, long_share: float) -> list[Candidate]:
         """Return the prefill engines open to long prompts, by their share of the work.
 
         The memory of the other engines stays available to shorter prompts.
@@ -68,13 +68,13 @@
     decode: float = 0.0
 
 
-class LaneBorder:
+class LaneShares:
     """Shares of prefill and of long prompts in each model's recent work."""
 
     def __init__(self) -> None:
         self._loads: dict[ModelName, _ModelLoad] = {}
 
-    def note(
+    def record_request(
         self,
         model: ModelName,
         prefill: float,
@@ -92,14 +92,14 @@
         load.long_prefill = decay(load.long_prefill, elapsed)
         load.long_prefill += prefill if is_long else 0.0
 
-    def read_share(self, model: ModelName) -> float:
+    def compute_prefill_share(self, model: ModelName) -> float:
         """Return the share of the model's engines that should prefill."""
         load = self._loads.get(model)
         if load is None or load.prefill + load.decode <= 0.0:
             return INITIAL_PREFILL_SHARE
         return load.prefill / (load.prefill + load.decode)
 
-    def read_long_share(self, model: ModelName) -> float:
+    def compute_long_prompt_share(self, model: ModelName) -> float:
         """Return the share of long prompts in the model's prefill work."""
         load = self._loads.get(model)
         if load is None or load.prefill <= 0.0:
@@ -128,8 +128,8 @@
     count = max(min_count, min(max_count, wanted))
     ordered = sorted(both, key=_hash_upstream)
     decode += ordered[count:]
-    most_memory = max((c.view.memory_tokens for c in decode), default=0)
-    return Lanes(prefill + ordered[:count], decode, True, most_memory)
+    max_memory_tokens = max((c.view.memory_tokens for c in decode), default=0)
+    return Lanes(prefill + ordered[:count], decode, True, max_memory_tokens)
 
 
 def _hash_upstream(candidate: Candidate) -> int:
--- a/src/scalebend/core/messages.py
+++ b/src/scalebend/core/messages.py
@@ -119,7 +119,7 @@
     open: list[CustomerOpen]
 
 
-class UsageAnswer(msgspec.Struct, frozen=True, tag=True):
+class UsageReply(msgspec.Struct, frozen=True, tag="UsageAnswer"):
     """Home to instance: what all others used and have open."""
 
     usages: list[Usage]
@@ -163,7 +163,7 @@
     | Published
     | Announced
     | UsageReport
-    | UsageAnswer
+    | UsageReply
     | Handover
     | FetchCatalog
     | CatalogPage
--- a/src/scalebend/core/orders.py
+++ b/src/scalebend/core/orders.py
@@ -22,10 +22,10 @@
 
 logger = structlog.get_logger(__name__)
 
-ORDER_TIMEOUT = 5.0
+ORDER_TIMEOUT_S = 5.0
 """Timeout of sending an order, after which it can no longer arrive."""
 
-LEADER_LEASE = 1.5
+LEADER_LEASE_S = 1.5
 """Time after which a replaced leader has stopped sending orders."""
 
 LOAD_REPORT_TIMEOUT_S = 60.0
@@ -177,7 +177,7 @@
         kind = kinds.get(record.announcement.kind)
         if kind is not None and kind.checks_fencing:
             return True
-        return now - self._leader_since >= LEADER_LEASE + ORDER_TIMEOUT
+        return now - self._leader_since >= LEADER_LEASE_S + ORDER_TIMEOUT_S
 
     def _compute_cost(
         self,
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -16,7 +16,7 @@
     SIZE_CLASSES,
     FirstCome,
     Policy,
-    Waiting,
+    QueuedWork,
     WorkQueue,
     compute_size_class,
 )
@@ -233,14 +233,14 @@
         return ToEntry(work.entry, refusal)
 
     def _refuse_all(self, reason: RefusalReason) -> list[OwnerAction]:
-        refused = self.queue.list_waiting()
+        refused = self.queue.list_queued()
         return [self._refuse_waiting(waiting, reason) for waiting in refused]
 
     def _refuse_expired(self, now: float) -> list[OwnerAction]:
-        expired = [item for item in self.queue.list_waiting() if item.is_expired(now)]
+        expired = [item for item in self.queue.list_queued() if item.is_expired(now)]
         return [self._refuse_waiting(item, RefusalReason.TOO_LATE) for item in expired]
 
-    def _refuse_waiting(self, waiting: Waiting, reason: RefusalReason) -> ToEntry:
+    def _refuse_waiting(self, waiting: QueuedWork, reason: RefusalReason) -> ToEntry:
         self.queue.remove(waiting.work.attempt)
         return self._refuse(waiting.work, reason)
 
@@ -253,7 +253,7 @@
             actions.append(self._grant(waiting.work, now))
         return actions
 
-    def _find_next(self, now: float) -> Waiting | None:
+    def _find_next(self, now: float) -> QueuedWork | None:
         if not len(self.queue) or len(self._holds) >= self.view.concurrency:
             return None
         is_memory_kept = False
@@ -286,14 +286,14 @@
                 is_memory_kept = True
         return None
 
-    def _read_use(self, head: Waiting, now: float) -> float:
+    def _read_use(self, head: QueuedWork, now: float) -> float:
         return self._shares.compute_normalized(head.work.customer, now)
 
-    def _compute_mean_use(self, heads: list[Waiting], now: float) -> float:
+    def _compute_mean_use(self, heads: list[QueuedWork], now: float) -> float:
         uses = {head.work.customer: self._read_use(head, now) for head in heads}
         return sum(uses.values()) / len(uses)
 
-    def _was_overtaken_enough(self, head: Waiting, now: float) -> bool:
+    def _was_overtaken_enough(self, head: QueuedWork, now: float) -> bool:
         own = head.work.prefill_tokens / self.view.prefill_rate
         return now - head.arrived >= PREFILL_WINDOW + own
 
--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -8,7 +8,7 @@
 import structlog
 
 from scalebend.core.catalog import Catalog
-from scalebend.core.lanes import LaneBorder, Lanes, compute_decode_seconds, split_lanes
+from scalebend.core.lanes import Lanes, LaneShares, compute_decode_seconds, split_lanes
 from scalebend.core.prefixes import PrefixIndex
 from scalebend.core.queueing import LONG_TOKENS
 from scalebend.core.retries import OutlierDetector
@@ -38,14 +38,14 @@
 
 logger = structlog.get_logger(__name__)
 
-MOST_GROUP = 3
+MAX_GROUP_REPLICAS = 3
 """Replicas that may prefill one prompt together."""
 
 GROUP_RESERVATION_TIMEOUT_S = 20.0
 """Limits the wait for a reservation while others of its group are held."""
 
 
-class Placed(msgspec.Struct):
+class PlacedAttempt(msgspec.Struct):
     """Work of one attempt per replica, in the order of reservation.
 
     ``is_split``: the work is the prefill only; decode is placed afterwards.
@@ -72,13 +72,13 @@
         self.outliers = OutlierDetector()
         self.pending = PendingLoad()
         self.backoffs = UpstreamBackoffs()
-        """Keyed by incarnation; see :meth:`note_backoff`."""
+        """Keyed by incarnation; see :meth:`record_backoff`."""
 
         self._instance = instance
         self._zone = zone
         self._catalog = catalog
         self._is_split = is_split
-        self._lane_shares = LaneBorder()
+        self._lane_shares = LaneShares()
         self._lanes: dict[ModelName, tuple[list[Candidate], float, Lanes]] = {}
         self._random = random.Random(seed)
 
@@ -88,7 +88,7 @@
         attempt: AttemptId,
         excluded: set[UpstreamId],
         now: float,
-    ) -> Placed | None:
+    ) -> PlacedAttempt | None:
         """Choose where an attempt starts; ``None`` if no replica can serve it."""
         candidates = self._list_usable(request, excluded, now)
         if request.model is None or not self._is_split:
@@ -99,10 +99,10 @@
             return self._place_unsplit(request, attempt, candidates, now)
         prefill_engines = lanes.prefill
         if request.prompt_tokens >= LONG_TOKENS:
-            prefill_engines = lanes.list_for_long(
-                self._lane_shares.read_long_share(request.model)
+            prefill_engines = lanes.list_for_long_prompts(
+                self._lane_shares.compute_long_prompt_share(request.model)
             )
-        if request.memory_tokens > lanes.most_memory:
+        if request.memory_tokens > lanes.max_memory_tokens:
             # No decode engine has enough memory: one prefill engine or a group of
             # them does both.
             return self._place_unsplit(
@@ -143,13 +143,13 @@
             memory_tokens=request.memory_tokens,
             prefill_tokens=0,
             output_tokens=request.output_tokens,
-            patience=request.deadline - now,
+            timeout_s=request.deadline - now,
             held_elsewhere=True,
         )
 
     def _split_lanes(self, model: ModelName, candidates: list[Candidate]) -> Lanes:
         """Divide the candidates into lanes; caches the result for the same list."""
-        share = round(self._lane_shares.read_share(model), 2)
+        share = round(self._lane_shares.compute_prefill_share(model), 2)
         cached_lanes = self._lanes.get(model)
         if (
             cached_lanes is not None
@@ -161,7 +161,7 @@
         self._lanes[model] = (candidates, share, lanes)
         return lanes
 
-    def note_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
+    def record_backoff(self, upstream: UpstreamId, seconds: float, now: float) -> None:
         """Record that a replica rejected a request of this instance for ``seconds``."""
         self.backoffs.record(self._build_incarnation_name(upstream), seconds, now)
 
@@ -207,7 +207,9 @@
         prefill = request.prompt_tokens / view.prefill_rate
         decode = compute_decode_seconds(request, view)
         is_long = request.prompt_tokens >= LONG_TOKENS
-        self._lane_shares.note(request.model, prefill, decode, now, is_long=is_long)
+        self._lane_shares.record_request(
+            request.model, prefill, decode, now, is_long=is_long
+        )
 
     def _place_unsplit(
         self,
@@ -216,7 +218,7 @@
         candidates: list[Candidate],
         now: float,
         fallback: list[Candidate] | None = None,
-    ) -> Placed | None:
+    ) -> PlacedAttempt | None:
         placed = self._place_one(request, attempt, candidates, now)
         if placed is not None:
             return placed
@@ -230,7 +232,7 @@
         attempt: AttemptId,
         candidates: list[Candidate],
         now: float,
-    ) -> Placed | None:
+    ) -> PlacedAttempt | None:
         cached: dict[UpstreamId, int] = {}
         if request.prefixes and request.model:
             ratio = self.sizes.get_bytes_per_token(request.model)
@@ -254,9 +256,9 @@
             memory_tokens=request.memory_tokens,
             prefill_tokens=choice.prefill_tokens,
             output_tokens=request.output_tokens,
-            patience=request.deadline - now - choice.prefill_seconds,
+            timeout_s=request.deadline - now - choice.prefill_seconds,
         )
-        return Placed([work])
+        return PlacedAttempt([work])
 
     def _place_group(
         self,
@@ -264,9 +266,9 @@
         attempt: AttemptId,
         candidates: list[Candidate],
         now: float,
-    ) -> Placed | None:
+    ) -> PlacedAttempt | None:
         demand = Demand(request.prompt_tokens, request.memory_tokens)
-        group = choose_group(demand, candidates, MOST_GROUP)
+        group = choose_group(demand, candidates, MAX_GROUP_REPLICAS)
         if not group:
             return None
         logger.info(
@@ -278,7 +280,7 @@
             upstream=group,
             reason="spread-over-group",
         )
-        patience = request.deadline - now
+        timeout_s = request.deadline - now
         works = []
         for number, upstream in enumerate(group):
             prefill_tokens = divide_up(request.prompt_tokens, len(group))
@@ -290,13 +292,13 @@
                 memory_tokens=divide_up(request.memory_tokens, len(group)),
                 prefill_tokens=prefill_tokens,
                 output_tokens=divide_up(request.output_tokens, len(group)),
-                patience=patience
+                timeout_s=timeout_s
                 if number == 0
-                else min(GROUP_RESERVATION_TIMEOUT_S, patience),
+                else min(GROUP_RESERVATION_TIMEOUT_S, timeout_s),
                 held_elsewhere=number > 0,
             )
             works.append(work)
-        return Placed(works)
+        return PlacedAttempt(works)
 
     def _record_chosen(
         self, upstream: UpstreamId, prefill_tokens: int, now: float
@@ -313,7 +315,7 @@
         memory_tokens: int,
         prefill_tokens: int,
         output_tokens: int,
-        patience: float,
+        timeout_s: float,
         held_elsewhere: bool = False,
     ) -> Work:
         return Work(
@@ -325,7 +327,7 @@
             memory_tokens=memory_tokens,
             prefill_tokens=prefill_tokens,
             output_tokens=output_tokens,
-            patience=patience,
+            patience=timeout_s,
             priority=request.priority,
             held_elsewhere=held_elsewhere,
         )
--- a/src/scalebend/core/prefixes.py
+++ b/src/scalebend/core/prefixes.py
@@ -46,15 +46,15 @@
 class PrefixIndex:
     """Maps prefix hashes to the replicas that probably cache them."""
 
-    def __init__(self, most_entries: int = MAX_ENTRIES) -> None:
-        self._max_entries = most_entries
+    def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
+        self._max_entries = max_entries
         self._replicas: OrderedDict[int, set[UpstreamId]] = OrderedDict()
         self._sequences: dict[UpstreamId, int] = {}
 
     def __len__(self) -> int:
         return len(self._replicas)
 
-    def take_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
+    def apply_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
         """Apply a cache event; ignores old ones, drops known entries on a gap."""
         last = self._sequences.get(upstream)
         if last is not None and event.sequence <= last:
--- a/src/scalebend/core/queueing.py
+++ b/src/scalebend/core/queueing.py
@@ -43,13 +43,13 @@
     """One shared queue in order of arrival, as a baseline."""
 
 
-class Lanes(msgspec.Struct, frozen=True, tag="lanes"):
+class SizeLanes(msgspec.Struct, frozen=True, tag="lanes"):
     """Smaller size intervals first; in order of arrival within an interval.
 
-    ``bounds`` are the lower bounds in prefill tokens of the intervals above the first.
+    ``borders`` are the lower bounds in prefill tokens of the intervals above the first.
     """
 
-    bounds: tuple[int, ...] = (SHORT_TOKENS, 32_000, LONG_TOKENS)
+    borders: tuple[int, ...] = (SHORT_TOKENS, 32_000, LONG_TOKENS)
 
 
 class FairQueue(msgspec.Struct, frozen=True, tag="fair"):
@@ -60,7 +60,7 @@
     """Smallest work first with aging, regardless of the customer."""
 
 
-Policy = FirstCome | Lanes | FairQueue | SmallestFirst
+Policy = FirstCome | SizeLanes | FairQueue | SmallestFirst
 
 
 class Strategy(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
 
 STRATEGIES: dict[str, Strategy] = {
     "first-come": Strategy(FirstCome()),
-    "lanes": Strategy(Lanes()),
+    "lanes": Strategy(SizeLanes()),
     "fair": Strategy(FairQueue()),
     "smallest": Strategy(SmallestFirst()),
     "split-fair": Strategy(FairQueue(), is_split=True),
@@ -99,7 +99,7 @@
     size_class: int
 
 
-class Waiting(msgspec.Struct):
+class QueuedWork(msgspec.Struct):
     """Queued work; ``arrived`` and ``blocked_since`` are in the owner's clock."""
 
     work: Work
@@ -124,8 +124,8 @@
     match policy:
         case FirstCome():
             return (arrived,)
-        case Lanes(bounds):
-            lane = sum(work.prefill_tokens >= bound for bound in bounds)
+        case SizeLanes(borders):
+            lane = sum(work.prefill_tokens >= border for border in borders)
             return (lane, _compute_arrival_key(work, arrived))
         case FairQueue() | SmallestFirst():
             return (_compute_size_key(work, arrived),)
@@ -149,7 +149,7 @@
         self._policy = policy
         self._shares = shares
         self._subqueues: dict[SubqueueKey, list[tuple[SortKey, AttemptId]]] = {}
-        self._queued: dict[AttemptId, Waiting] = {}
+        self._queued: dict[AttemptId, QueuedWork] = {}
         self._subqueue_tokens: dict[SubqueueKey, int] = {}
         self.tokens = 0
 
@@ -164,12 +164,12 @@
         if work.attempt in self._queued:
             return
         subqueue = self._get_subqueue(work)
-        self._queued[work.attempt] = Waiting(work, now)
+        self._queued[work.attempt] = QueuedWork(work, now)
         key = compute_key(self._policy, work, now)
         heapq.heappush(self._subqueues.setdefault(subqueue, []), (key, work.attempt))
         self._add_tokens(subqueue, work.prefill_tokens)
 
-    def remove(self, attempt: AttemptId) -> Waiting | None:
+    def remove(self, attempt: AttemptId) -> QueuedWork | None:
         """Remove and return the attempt; ``None`` if it is not queued."""
         queued = self._queued.pop(attempt, None)
         if queued is None:
@@ -179,11 +179,11 @@
         self._discard_removed(subqueue)
         return queued
 
-    def list_waiting(self) -> list[Waiting]:
+    def list_queued(self) -> list[QueuedWork]:
         """Return all queued work, in no particular order."""
         return list(self._queued.values())
 
-    def list_heads(self, now: float) -> list[Waiting]:
+    def list_heads(self, now: float) -> list[QueuedWork]:
         """Return the first work of each subqueue, in the order of service."""
         if len(self._subqueues) > 1:
             subqueues = sorted(
--- a/src/scalebend/core/shares.py
+++ b/src/scalebend/core/shares.py
@@ -11,7 +11,7 @@
 
 from scalebend.models.ids import CustomerId
 
-HALF_LIFE = 20.0
+HALF_LIFE_S = 20.0
 """Time after which usage counts half."""
 
 MIN_USAGE_S = 1e-3
@@ -29,7 +29,7 @@
     """Return ``seconds`` of usage decayed by ``elapsed`` seconds."""
     if elapsed <= 0.0:
         return seconds
-    return float(seconds * 0.5 ** (elapsed / HALF_LIFE))
+    return float(seconds * 0.5 ** (elapsed / HALF_LIFE_S))
 
 
 class _Counter(msgspec.Struct):
@@ -121,7 +121,7 @@
             others_usage.append(Usage(usage.customer, others))
         return others_usage
 
-    def forget_faded(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop expired reports."""
         for customer, reports in list(self._reports.items()):
             for name, counter in list(reports.items()):
--- a/src/scalebend/core/upstream_news.py
+++ b/src/scalebend/core/upstream_news.py
@@ -94,7 +94,7 @@
         return self._drop(upstream, now)
 
     def _take_cache_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
-        self._entry.placement.prefixes.take_event(upstream, event)
+        self._entry.placement.prefixes.apply_event(upstream, event)
         if len(event.stored) + len(event.evicted) <= LONGEST_CACHE_EVENT:
             subject = f"c/{upstream}/{event.sequence}"
             rumor = CacheRumor(upstream, event)
@@ -136,7 +136,7 @@
             case DigestRumor():
                 self._take_digest_rumor(rumor)
             case CacheRumor(upstream, event):
-                self._entry.placement.prefixes.take_event(upstream, event)
+                self._entry.placement.prefixes.apply_event(upstream, event)
             case CrashRumor(record):
                 self._take_crash(record, now)
         return []
--- a/src/scalebend/core/usage_exchange.py
+++ b/src/scalebend/core/usage_exchange.py
@@ -4,7 +4,7 @@
 
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.control_member import ToInstance
-from scalebend.core.messages import CustomerOpen, UsageAnswer, UsageReport
+from scalebend.core.messages import CustomerOpen, UsageReply, UsageReport
 from scalebend.core.rendezvous import ResponsibleTable
 from scalebend.core.shares import ShareLedger, UsageHome
 from scalebend.models.ids import CustomerId, InstanceId
@@ -34,9 +34,9 @@
 
     def build_reports(self, now: float) -> list[ToInstance]:
         """Build reports of local usage and open requests for the next homes."""
-        self._home.forget_faded(now)
+        self._home.drop_expired(now)
         usages = {usage.customer: usage for usage in self._shares.read_local(now)}
-        opens = self._admission.read_open()
+        opens = self._admission.count_open_by_customer()
         reports: dict[InstanceId, UsageReport] = {}
         for customer in sorted(usages.keys() | opens.keys()):
             home = self._homes.find(customer)
@@ -54,7 +54,7 @@
         self._next_home = start + len(chosen)
         return [ToInstance(home, reports[home]) for home in chosen]
 
-    def take_report(
+    def receive_report(
         self, sender: InstanceId, report: UsageReport, now: float
     ) -> ToInstance:
         """As a home, store a report; reply with the totals of all other instances."""
@@ -69,10 +69,10 @@
                 if instance != sender and instance in self._live
             )
             opens.append(CustomerOpen(item.customer, others))
-        return ToInstance(sender, UsageAnswer(usages, opens))
+        return ToInstance(sender, UsageReply(usages, opens))
 
-    def take_answer(self, answer: UsageAnswer, now: float) -> None:
+    def receive_reply(self, reply: UsageReply, now: float) -> None:
         """Apply the totals of the other instances."""
-        self._shares.set_remote(answer.usages, now)
-        for item in answer.open:
-            self._admission.set_fleet_open(item.customer, item.open)
+        self._shares.set_remote(reply.usages, now)
+        for item in reply.open:
+            self._admission.set_open_elsewhere(item.customer, item.open)
--- a/src/scalebend/edges/runtime.py
+++ b/src/scalebend/edges/runtime.py
@@ -41,7 +41,7 @@
 from scalebend.core.instance import Instance, InstanceAction
 from scalebend.core.membership import Outbound
 from scalebend.core.messages import Datagram, PeerMessage
-from scalebend.core.orders import ORDER_TIMEOUT
+from scalebend.core.orders import ORDER_TIMEOUT_S
 from scalebend.core.owner import CancelOnEngine
 from scalebend.edges.control_pump import pump_control
 from scalebend.edges.exchange import AttemptReporter, Exchange
@@ -162,7 +162,7 @@
         self.execute(self.instance.handle_result(attempt, result, self.now()))
 
     def _report_pause(self, upstream: UpstreamId, seconds: float) -> None:
-        self.instance.entry.note_backoff(upstream, seconds, self.now())
+        self.instance.entry.record_backoff(upstream, seconds, self.now())
 
     # Inputs
 
@@ -334,7 +334,7 @@
         if record is None:
             return
         url = f"{self._scheme}://{record.announcement.address}/v1/orders"
-        timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S)
         body = msgspec.json.encode(order)
         # Whatever the answer: what counts is what the engine announces.
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -4,12 +4,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from scalebend.core.catalog import Catalog
-from scalebend.core.orders import LEADER_LEASE, ORDER_TIMEOUT, OrderPlanner
+from scalebend.core.orders import LEADER_LEASE_S, ORDER_TIMEOUT_S, OrderPlanner
 from scalebend.models.configuration import Configuration, Model, UpstreamKind
 from scalebend.models.upstream import LoadedModel
 from tests.lib.builders import build_announcement
 
-NEW_LEADER_DELAY_S = LEADER_LEASE + ORDER_TIMEOUT
+NEW_LEADER_DELAY_S = LEADER_LEASE_S + ORDER_TIMEOUT_S
 
 
 def build_configuration(*models, loads=6_000.0, checks=True):
--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_sharing.py
@@ -31,7 +31,7 @@
     choose_group,
     choose_replica,
 )
-from scalebend.core.shares import HALF_LIFE, ShareLedger, Usage, UsageHome
+from scalebend.core.shares import HALF_LIFE_S, ShareLedger, Usage, UsageHome
 from scalebend.exceptions import RefusedError
 from scalebend.models.configuration import CustomerLimits
 from scalebend.models.upstream import CacheEvent, EngineRole
@@ -48,16 +48,16 @@
     for name, ledger in list(ledgers.items()) * 2:
         ledger.set_remote(home.report(name, ledger.read_local(1.0), 1.0), 1.0)
     usages = [ledger.compute_normalized("a", 1.0) for ledger in ledgers.values()]
-    assert usages == pytest.approx([60.0 / 2 * 0.5 ** (1 / HALF_LIFE)] * 3)
+    assert usages == pytest.approx([60.0 / 2 * 0.5 ** (1 / HALF_LIFE_S)] * 3)
 
 
 def test_usage_of_a_lost_instance_decays():
     home = UsageHome()
     home.report("gone", [Usage("a", 8.0)], 0.0)
-    (others_usage,) = home.report("here", [Usage("a", 1.0)], HALF_LIFE)
+    (others_usage,) = home.report("here", [Usage("a", 1.0)], HALF_LIFE_S)
     assert others_usage.seconds == pytest.approx(4.0)
-    home.forget_faded(HALF_LIFE * 20)
-    assert home.report("here", [Usage("a", 1.0)], HALF_LIFE * 20)[0].seconds == 0.0
+    home.drop_expired(HALF_LIFE_S * 20)
+    assert home.report("here", [Usage("a", 1.0)], HALF_LIFE_S * 20)[0].seconds == 0.0
 
 
 @given(st.lists(st.tuples(st.floats(-5, 50), st.floats(-10, 10)), max_size=30))
@@ -93,7 +93,7 @@
     with pytest.raises(RefusedError):
         admission.admit("r2", "a", 1, 5.0)
     admission.admit("r3", "a", 1, 9.0)
-    admission.set_fleet_open("b", 2)
+    admission.set_open_elsewhere("b", 2)
     admission.admit("r4", "b", 1, 0.0)
     with pytest.raises(RefusedError):
         admission.admit("r5", "b", 1, 0.0)
@@ -244,18 +244,18 @@
 
 def test_gap_in_cache_events_drops_the_replica():
     index = PrefixIndex()
-    index.take_event("e", CacheEvent(1, [11, 12]))
-    index.take_event("e", CacheEvent(1, [99]))
-    index.take_event("e", CacheEvent(2, [13], [11]))
+    index.apply_event("e", CacheEvent(1, [11, 12]))
+    index.apply_event("e", CacheEvent(1, [99]))
+    index.apply_event("e", CacheEvent(2, [13], [11]))
     assert index.count_cached((12,), 4.0) == {"e": 256}
     assert index.count_cached((11,), 4.0) == {}
-    index.take_event("e", CacheEvent(4, [14]))
+    index.apply_event("e", CacheEvent(4, [14]))
     assert index.count_cached((12,), 4.0) == {}
     assert index.count_cached((14,), 4.0) == {"e": 256}
 
 
 def test_prefix_index_is_bounded():
-    index = PrefixIndex(most_entries=10)
+    index = PrefixIndex(max_entries=10)
     index.learn("e", tuple(range(100)))
     assert len(index) == 10
 
