--- a/src/scalebend/core/gateway/limited_placement.py
+++ b/src/scalebend/core/gateway/limited_placement.py
@@ -11,9 +11,12 @@
 
 import msgspec
 
-from scalebend.core.gateway.engine_costs import QUICK_READ, compute_read_time
+from scalebend.core.gateway.engine_costs import (
+    MIN_SPLIT_PREFILL_S,
+    compute_prefill_time,
+)
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
-from scalebend.core.gateway.placement_turn import REPLAN_PERIOD
+from scalebend.core.gateway.placement_aging import REPLAN_PERIOD_S
 from scalebend.core.gateway.timeouts import ROOM_WAIT_SHARE
 from scalebend.core.send_budget import SendBudget
 from scalebend.models.endpoints import Endpoint
@@ -21,7 +24,7 @@
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 from scalebend.models.routing import EngineProfile
 
-MAX_WAIT_S = REPLAN_PERIOD
+MAX_WAIT_S = REPLAN_PERIOD_S
 """Longest wait of a prompt for a send permit: after the replan period it would be
 placed anew and lose its position to later ones."""
 
@@ -48,7 +51,9 @@
             return scheduler.place(work, endpoints, profile, now)
         self._release(work.job, now)
         exhausted = self._budget.list_exhausted(now)
-        is_quick = compute_read_time(profile, work.prompt_tokens) <= QUICK_READ
+        is_quick = (
+            compute_prefill_time(profile, work.prompt_tokens) <= MIN_SPLIT_PREFILL_S
+        )
         avoided = exhausted if is_quick else limited
         placed = scheduler.place(work, endpoints, profile, now, avoided)
         if isinstance(placed, Declined) and not is_quick:
