--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_sharing.py
@@ -8,7 +8,7 @@
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.catalog import build_idle_digest
 from scalebend.core.claims import (
-    CLAIM_LIFETIME,
+    CLAIM_LIFETIME_S,
     Claim,
     ClaimConflict,
     ClaimKnown,
@@ -16,7 +16,7 @@
     ClaimTable,
     ClaimTaken,
     Settle,
-    StoredAnswer,
+    StoredResponse,
     Withdraw,
 )
 from scalebend.core.control_state import ControlState, encode_command
@@ -37,7 +37,7 @@
 from scalebend.models.upstream import CacheEvent, EngineRole
 from tests.lib.builders import ZONE, build_view
 
-ANSWER = StoredAnswer(200, "text/plain", b"done")
+RESPONSE = StoredResponse(200, "text/plain", b"done")
 
 
 def test_usage_of_several_instances_adds_up():
@@ -109,9 +109,9 @@
     assert known == ClaimKnown(ClaimState.OPEN, None)
     assert table.apply(Claim("c", "k", "other", "r2"), 0.0) == ClaimConflict()
     assert table.apply(Claim("d", "k", "other", "r3"), 0.0) == ClaimTaken()
-    table.apply(Settle("c", "k", "r1", ANSWER), 1.0)
+    table.apply(Settle("c", "k", "r1", RESPONSE), 1.0)
     known = table.apply(Claim("c", "k", "f", "r2"), 2.0)
-    assert known == ClaimKnown(ClaimState.SETTLED, ANSWER)
+    assert known == ClaimKnown(ClaimState.SETTLED, RESPONSE)
 
 
 def test_claim_committed_after_its_withdrawal_is_not_taken():
@@ -126,9 +126,9 @@
 def test_claims_expire_only_after_their_lifetime():
     table = ClaimTable()
     table.apply(Claim("c", "k", "f", "r1"), 0.0)
-    table.apply(Claim("c", "k2", "f", "r2"), CLAIM_LIFETIME - 1)
+    table.apply(Claim("c", "k2", "f", "r2"), CLAIM_LIFETIME_S - 1)
     assert len(table) == 2
-    table.apply(Claim("c", "k3", "f", "r3"), CLAIM_LIFETIME)
+    table.apply(Claim("c", "k3", "f", "r3"), CLAIM_LIFETIME_S)
     assert len(table) == 2
 
 
@@ -136,7 +136,7 @@
     state = ControlState()
     state.apply(encode_command(Claim("c", "k", "f", "r1")), 1_000.0)
     state.apply(
-        encode_command(Claim("c", "k2", "f", "r2")), 1_000.0 + 10 * CLAIM_LIFETIME
+        encode_command(Claim("c", "k2", "f", "r2")), 1_000.0 + 10 * CLAIM_LIFETIME_S
     )
     known = state.apply(encode_command(Claim("c", "k", "f", "r9")), 1_001.0)
     assert known == ClaimKnown(ClaimState.OPEN, None)
