--- a/src/scalebend/core/usage_exchange.py
+++ b/src/scalebend/core/usage_exchange.py
@@ -4,7 +4,7 @@
 
 from scalebend.core.admission import AdmissionControl
 from scalebend.core.control_member import ToInstance
-from scalebend.core.messages import CustomerOpen, UsageReply, UsageReport
+from scalebend.core.messages import OpenRequestCount, UsageReply, UsageReport
 from scalebend.core.rendezvous import ResponsibleTable
 from scalebend.core.shares import ShareLedger, UsageHome
 from scalebend.models.ids import CustomerId, InstanceId
@@ -46,7 +46,7 @@
             if customer in usages:
                 report.usages.append(usages[customer])
             if customer in opens:
-                report.open.append(CustomerOpen(customer, opens[customer]))
+                report.open.append(OpenRequestCount(customer, opens[customer]))
         # Homes rotate, so that the cost per period does not grow with customers.
         ordered = sorted(reports)
         start = self._next_home % max(1, len(ordered))
@@ -68,7 +68,7 @@
                 for instance, count in open_counts.items()
                 if instance != sender and instance in self._live
             )
-            opens.append(CustomerOpen(item.customer, others))
+            opens.append(OpenRequestCount(item.customer, others))
         return ToInstance(sender, UsageReply(usages, opens))
 
     def receive_reply(self, reply: UsageReply, now: float) -> None:
--- a/src/scalebend/edges/gateway/upstream_choice.py
+++ b/src/scalebend/edges/gateway/upstream_choice.py
@@ -1,4 +1,4 @@
-"""Chooses where an attempt of one call goes, and counts the request there meanwhile."""
+"""Chooses the upstream of each attempt, and counts the request there meanwhile."""
 
 from __future__ import annotations
 
@@ -14,26 +14,24 @@
     compute_room_timeout,
 )
 from scalebend.edges.gateway.front_runtime import FrontRuntime
-from scalebend.edges.gateway.reservations import HolderSilentError, hold_memory
-from scalebend.edges.gateway.service_choice import choose_with_room
+from scalebend.edges.gateway.reservations import HelperUnresponsiveError, reserve_memory
+from scalebend.edges.gateway.service_choice import choose_within_limits
 from scalebend.models.calls import Call, LoadReading
 from scalebend.models.ids import Fingerprint, InstanceId, UpstreamId
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 
 logger = structlog.get_logger(__name__)
 
-RETRY_LATER = 0.25
-"""Seconds after which a refused caller may come back: engines end several short
-requests in that time."""
+DEFAULT_RETRY_AFTER_S = 0.25
+"""``Retry-After`` of refused requests: engines finish several short requests in it."""
 
-
-RETURN_SPREAD = 0.25
-"""Seconds over which callers come back that were refused for one pause: together they
-would fill the upstream that is open first."""
+RETRY_AFTER_SPREAD_S = 0.25
+"""Jitter of ``Retry-After`` for callers refused during one backoff, who would overload
+the first available upstream if they retried together."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Where one attempt goes."""
+    """Upstreams of one attempt."""
 
     upstream: UpstreamId
     address: str
@@ -41,24 +39,24 @@
     predicted: float | None = None
     job: JobId | None = None
     placement: Placement | None = None
-    lost: UpstreamId | None = None
-    """One that takes part and cannot, so that nothing is to be sent there."""
+    unavailable: UpstreamId | None = None
+    """An unavailable upstream of the placement: the request must not be sent."""
 
     @property
     def upstreams(self) -> list[UpstreamId]:
-        """All that take part until the first event."""
+        """All that are needed until the first event."""
         if self.placement is None:
             return [self.upstream]
         return self.placement.upstreams
 
     @property
-    def holders(self) -> list[UpstreamId]:
-        """Those that take part until the end: the others only read."""
+    def decode_upstreams(self) -> list[UpstreamId]:
+        """Those that are needed until the end; the other helpers only prefill."""
         helpers = self.placement.helpers if self.placement is not None else ()
         return [self.upstream, *(one.upstream for one in helpers if one.tokens)]
 
     def find_helper(self, address: str | None) -> UpstreamId | None:
-        """The helper at ``address``, if there is one."""
+        """Return the helper at ``address``, if there is one."""
         helpers = self.placement.helpers if self.placement is not None else ()
         for helper in helpers:
             if helper.address == address:
@@ -66,14 +64,18 @@
         return None
 
 
-def _build_unsent(placement: Placement, lost: UpstreamId) -> Target:
+def _build_unavailable_target(placement: Placement, unavailable: UpstreamId) -> Target:
     return Target(
-        placement.upstream, placement.address, [], placement=placement, lost=lost
+        placement.upstream,
+        placement.address,
+        [],
+        placement=placement,
+        unavailable=unavailable,
     )
 
 
 class UpstreamChoice:
-    """Choices for one call, one after the other."""
+    """Chooses the upstreams of the attempts of one call."""
 
     def __init__(
         self,
@@ -82,41 +84,41 @@
         fingerprint: Fingerprint,
         excluded: set[UpstreamId],
     ) -> None:
-        """``excluded`` grows while attempts fail."""
+        """``excluded`` is shared: it grows as attempts fail."""
         self._fingerprint = fingerprint
         self._runtime = runtime
         self._call = call
         self._excluded = excluded
-        self._lateness: asyncio.TimerHandle | None = None
+        self._inspection_timer: asyncio.TimerHandle | None = None
         self.load: LoadReading | None = None
-        """The chosen upstream's own count of its load, once it answered."""
+        """The load that the chosen upstream reported in its response."""
 
         self.has_failed = True
-        """Whether the attempt gave no answer to pass on, as far as known."""
+        """Whether the attempt failed; true until a response succeeded."""
 
-        self.retry_after = RETRY_LATER
-        """Seconds after which the caller may come back, if nothing is chosen."""
+        self.retry_after = DEFAULT_RETRY_AFTER_S
+        """Seconds after which the caller may retry, if nothing is chosen."""
 
-    async def exclude_silent(self, target: Target) -> None:
-        """One of a group was lost: leave out all of it that do not answer now.
+    async def exclude_unresponsive(self, target: Target) -> None:
+        """Exclude all replicas of a prefill group that do not respond now.
 
-        A crash often takes several. Found one by one, by attempts that fail, they would
-        cost a long prompt all its attempts.
+        Several often crash together. If they were found one by one, by failed attempts,
+        a long prompt would use up its attempts.
         """
         if target.placement is not None and target.placement.helpers:
-            silent = await self._runtime.inspect(target.placement)
-            self._excluded.update(silent)
+            unresponsive = await self._runtime.inspect(target.placement)
+            self._excluded.update(unresponsive)
 
-    def note_first_token(self, target: Target) -> None:
-        """The first event of a stream came."""
+    def record_first_token(self, target: Target) -> None:
+        """Record the first event of a stream."""
         if target.job is not None:
-            self._stop_lateness()
-            self._runtime.note_first_token(target.job, self.load)
+            self._cancel_inspection()
+            self._runtime.record_first_token(target.job, self.load)
 
     @contextlib.asynccontextmanager
     async def choose(self) -> AsyncIterator[Target | None]:
         """Choose an upstream and count the request there until the block ends."""
-        if not await self._wait_until_open():
+        if not await self._wait_for_backoff():
             yield None
             return
         profile = self._runtime.instance.table.find_engine(self._call.service)
@@ -127,8 +129,8 @@
         async with self._choose_service() as target:
             yield target
 
-    async def _wait_until_open(self) -> bool:
-        """Whether an upstream takes requests now, or soon enough to wait for it."""
+    async def _wait_for_backoff(self) -> bool:
+        """Wait for an upstream out of backoff; return whether that is soon enough."""
         runtime, call = self._runtime, self._call
         while True:
             now = runtime.now()
@@ -138,8 +140,8 @@
             if wait > compute_room_timeout(call, now):
                 break
             await asyncio.sleep(wait)
-        self.retry_after = wait + runtime.chooser.uniform(0.0, RETURN_SPREAD)
-        runtime.note_all_closed()
+        self.retry_after = wait + runtime.chooser.uniform(0.0, RETRY_AFTER_SPREAD_S)
+        runtime.record_backoff_refusal()
         logger.info(
             "all upstreams asked for a pause",
             request=call.headers.request,
@@ -152,11 +154,11 @@
     async def _choose_service(self) -> AsyncIterator[Target | None]:
         runtime = self._runtime
         instance = runtime.instance
-        room = await choose_with_room(runtime, self._call, self._excluded)
-        endpoint = room.endpoint
+        choice = await choose_within_limits(runtime, self._call, self._excluded)
+        endpoint = choice.endpoint
         if endpoint is None:
-            if room.retry_after is not None:
-                self.retry_after = room.retry_after
+            if choice.retry_after is not None:
+                self.retry_after = choice.retry_after
             yield None
             return
         instance.balancer.record_sent(endpoint.upstream)
@@ -185,28 +187,28 @@
             return
         self._log_placement(work, placement, decision.leader)
         try:
-            turn = await runtime.wait_for_turn(work, placement)
-            if isinstance(turn, Declined):
-                self._log_declined(work, turn, decision.leader)
-                self.retry_after = turn.retry_after
+            renewed = await runtime.wait_for_start(work, placement)
+            if isinstance(renewed, Declined):
+                self._log_declined(work, renewed, decision.leader)
+                self.retry_after = renewed.retry_after
                 yield None
                 return
-            if turn.upstreams != placement.upstreams:
-                self._log_placement(work, turn, decision.leader)
-            placement = turn
-            kept = runtime.keep_staying(work, placement)
+            if renewed.upstreams != placement.upstreams:
+                self._log_placement(work, renewed, decision.leader)
+            placement = renewed
+            kept = runtime.drop_unusable(work, placement)
             if kept is None:
-                yield _build_unsent(placement, placement.upstream)
+                yield _build_unavailable_target(placement, placement.upstream)
                 return
             placement = kept
             async with contextlib.AsyncExitStack() as stack:
-                holding = hold_memory(runtime, work, placement)
+                reservation = reserve_memory(runtime, work, placement)
                 try:
-                    helpers = await stack.enter_async_context(holding)
-                except HolderSilentError as error:
-                    yield _build_unsent(placement, error.upstream)
+                    helpers = await stack.enter_async_context(reservation)
+                except HelperUnresponsiveError as error:
+                    yield _build_unavailable_target(placement, error.upstream)
                     return
-                self._lateness = asyncio.get_running_loop().call_later(
+                self._inspection_timer = asyncio.get_running_loop().call_later(
                     compute_inspection_delay(
                         placement.first_token_in - placement.start_in
                     ),
@@ -221,13 +223,13 @@
                     placement,
                 )
         finally:
-            self._stop_lateness()
-            runtime.note_job_ended(work.job)
+            self._cancel_inspection()
+            runtime.record_job_end(work.job)
 
-    def _stop_lateness(self) -> None:
-        if self._lateness is not None:
-            self._lateness.cancel()
-            self._lateness = None
+    def _cancel_inspection(self) -> None:
+        if self._inspection_timer is not None:
+            self._inspection_timer.cancel()
+            self._inspection_timer = None
 
     def _build_work(self) -> EngineWork:
         call = self._call
