--- a/src/scalebend/cli/__init__.py
+++ b/src/scalebend/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: argument parsing only; each command lives in commands/."""
+"""Parsing of the command line; ``scalebend.commands`` implements the commands."""
--- a/src/scalebend/cli/main.py
+++ b/src/scalebend/cli/main.py
@@ -1,8 +1,8 @@
-"""Command line: declares the commands; each one's module is imported when it runs.
+"""Declares the commands; the module of a command is imported when it runs.
 
-Exit codes: 0 done; 1 the command ran and its answer is no (a conflict, a broken
-promise, a refused request); 2 wrong arguments or a document with faults; 3 the
-instance could not be reached.
+Exit codes: 0 success; 1 the command ran with a negative result (a conflict, a broken
+promise, a rejected request); 2 invalid arguments or an invalid document; 3 the instance
+could not be reached.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     help="Serve many customers from one fleet of language-model engines, fairly.",
     no_args_is_help=True,
     add_completion=False,
-    # Plain help: the library for coloured help costs each instance 6 MB.
+    # The library for coloured help would add to the memory of every instance.
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
 )
@@ -26,7 +26,7 @@
 Url = Annotated[
     str, typer.Option(help="Address of an instance.", envvar="SCALEBEND_URL")
 ]
-Key = Annotated[str, typer.Option(help="Key to use.", envvar="SCALEBEND_KEY")]
+Key = Annotated[str, typer.Option(help="API key to send.", envvar="SCALEBEND_KEY")]
 Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 DEFAULT_URL = "http://127.0.0.1:8080"
@@ -37,8 +37,8 @@
     raise typer.Exit(module.run(**options))
 
 
-def _show_version(is_asked: bool) -> None:
-    if is_asked:
+def _show_version(is_requested: bool) -> None:
+    if is_requested:
         _run("version", as_json=False)
 
 
@@ -54,9 +54,9 @@
 
 @app.command()
 def run(
-    settings: Annotated[Path, typer.Argument(help="Settings, a JSON file.")],
+    settings: Annotated[Path, typer.Argument(help="Path of a JSON file of settings.")],
 ) -> None:
-    """Run an instance until SIGTERM; open requests are finished first."""
+    """Run an instance until SIGTERM; it finishes open requests before it exits."""
     _run("run", settings=settings)
 
 
@@ -64,12 +64,16 @@
 def gateway(
     settings: Annotated[
         Path | None,
-        typer.Argument(help="Settings of the platform; default: $SCALEBEND_CONFIG."),
+        typer.Argument(help="Path of the settings; default: $SCALEBEND_CONFIG."),
     ] = None,
-    log_level: Annotated[str, typer.Option(help="Least level of log lines.")] = "info",
+    log_level: Annotated[
+        str, typer.Option(help="Minimum level of log lines.")
+    ] = "info",
     link_listen: Annotated[
         str | None,
-        typer.Option(help="IP:port for links, if others dial a proxy before it."),
+        typer.Option(
+            help="IP:port to listen on for links, if peers connect through a proxy."
+        ),
     ] = None,
 ) -> None:
     """Run a front or a control instance on the users' platform until SIGTERM."""
@@ -78,7 +82,7 @@
 
 @app.command()
 def check(
-    file: Annotated[Path | None, typer.Argument(help="A JSON file.")] = None,
+    file: Annotated[Path | None, typer.Argument(help="Path of a JSON file.")] = None,
     schema: Annotated[
         str, typer.Option(help="Print a JSON Schema: settings or configuration.")
     ] = "",
@@ -90,19 +94,19 @@
 
 @app.command()
 def apply(
-    file: Annotated[Path, typer.Argument(help="Configuration, a JSON file.")],
+    file: Annotated[Path, typer.Argument(help="Path of a JSON file of configuration.")],
     url: Url = DEFAULT_URL,
     key: Key = "",
     base: Annotated[
-        int | None, typer.Option(help="Version it replaces; default: the newest.")
+        int | None, typer.Option(help="Version to replace; default: the newest.")
     ] = None,
     change: Annotated[
-        str, typer.Option(help="Change id; the same again gives the same answer.")
+        str, typer.Option(help="Change id; repeating it gives the same result.")
     ] = "",
-    operator: Annotated[str, typer.Option(help="Name shown to others.")] = "",
+    operator: Annotated[str, typer.Option(help="Name recorded with the change.")] = "",
     as_json: Json = False,
 ) -> None:
-    """Replace the configuration as a whole."""
+    """Replace the whole configuration."""
     _run(
         "apply",
         file=file,
@@ -117,7 +121,7 @@
 
 @app.command()
 def diff(
-    file: Annotated[Path, typer.Argument(help="Configuration, a JSON file.")],
+    file: Annotated[Path, typer.Argument(help="Path of a JSON file of configuration.")],
     url: Url = DEFAULT_URL,
     key: Key = "",
     as_json: Json = False,
@@ -128,26 +132,33 @@
 
 @app.command()
 def status(url: Url = DEFAULT_URL, key: Key = "", as_json: Json = False) -> None:
-    """Show instances, their configuration versions, and upstreams."""
+    """Show upstreams, instances and their configuration versions."""
     _run("status", url=url, key=key, as_json=as_json)
 
 
 @app.command()
 def drain(url: Url = DEFAULT_URL, key: Key = "") -> None:
-    """Ask an instance for a planned stop."""
+    """Drain an instance: it finishes open requests, then stops."""
     _run("drain", url=url, key=key)
 
 
 @app.command()
 def ask(
-    prompt: Annotated[Path, typer.Argument(help="A file with the prompt, or -.")],
-    model: Annotated[str, typer.Option(help="Model to ask.")],
+    prompt: Annotated[
+        Path,
+        typer.Argument(help="Path of a file with the prompt, or - for standard input."),
+    ],
+    model: Annotated[str, typer.Option(help="Name of the model.")],
     url: Url = DEFAULT_URL,
     key: Key = "",
-    max_tokens: Annotated[int, typer.Option(help="Tokens to generate.")] = 256,
-    time_limit: Annotated[float, typer.Option(help="Seconds.")] = 120.0,
+    max_tokens: Annotated[
+        int, typer.Option(help="Maximum number of tokens to generate.")
+    ] = 256,
+    time_limit: Annotated[
+        float, typer.Option(help="Time limit of the request in seconds.")
+    ] = 120.0,
 ) -> None:
-    """Send a prompt and print its streamed answer."""
+    """Send a prompt and print the streamed response."""
     _run(
         "ask",
         prompt=prompt,
@@ -162,29 +173,34 @@
 @app.command()
 def demo(
     prompt: Annotated[
-        Path | None, typer.Option(help="A file to send as one more prompt.")
+        Path | None,
+        typer.Option(help="Path of a file to send as an additional prompt."),
     ] = None,
     seed: Annotated[int, typer.Option(help="Seed of the load.")] = 1,
     as_json: Json = False,
 ) -> None:
-    """Run an instance, small engines and a mixed load in one process."""
+    """Run an instance, stand-in engines and a mixed load in one process."""
     _run("demo", prompt=prompt, seed=seed, as_json=as_json)
 
 
 @app.command()
 def measure(
-    scenario: Annotated[Path, typer.Argument(help="Scenario, a JSON file.")],
+    scenario: Annotated[
+        Path, typer.Argument(help="Path of a JSON file with the scenario.")
+    ],
     seed: Annotated[int, typer.Option(help="Seed of the load.")] = 1,
     seeds: Annotated[
         int, typer.Option(help="Run this many seeds, from --seed on.")
     ] = 1,
-    out: Annotated[Path | None, typer.Option(help="Folder for results.")] = None,
+    out: Annotated[
+        Path | None, typer.Option(help="Folder to write results to.")
+    ] = None,
     policy: Annotated[
-        list[str] | None, typer.Option(help="Only these policies; may be repeated.")
+        list[str] | None, typer.Option(help="Run only this policy; may be repeated.")
     ] = None,
     as_json: Json = False,
 ) -> None:
-    """Measure the core in virtual time with small stand-in engines."""
+    """Measure scheduling policies in virtual time with stand-in engines."""
     _run(
         "measure",
         scenario=scenario,
@@ -198,33 +214,35 @@
 
 @app.command("measure-overhead")
 def measure_overhead(as_json: Json = False) -> None:
-    """Compare the real path with a bare pass-through, in processor time."""
+    """Compare the processor time of scalebend with that of a minimal proxy."""
     _run("measure_overhead", as_json=as_json)
 
 
 @app.command("explain-losses")
 def explain_losses(
     logs: Annotated[list[Path], typer.Argument(help="Log files of fronts.")],
-    window: Annotated[float, typer.Option(help="Seconds of one window.")] = 2.0,
+    window: Annotated[float, typer.Option(help="Length of a window in seconds.")] = 2.0,
     as_json: Json = False,
 ) -> None:
-    """Say why requests were not served in time, from the logs of fronts."""
+    """Explain from the logs of fronts why requests were not served on time."""
     _run("explain_losses", logs=logs, window=window, as_json=as_json)
 
 
 @app.command("measure-placement")
 def measure_placement(
-    scenario: Annotated[Path, typer.Argument(help="Scenario, a JSON file.")],
+    scenario: Annotated[
+        Path, typer.Argument(help="Path of a JSON file with the scenario.")
+    ],
     seed: Annotated[int, typer.Option(help="Seed of the load.")] = 1,
     seeds: Annotated[
         int, typer.Option(help="Run this many seeds, from --seed on.")
     ] = 10,
     decider: Annotated[
-        list[str] | None, typer.Option(help="Only these deciders; may be repeated.")
+        list[str] | None, typer.Option(help="Run only this decider; may be repeated.")
     ] = None,
     as_json: Json = False,
 ) -> None:
-    """Compare ways to place engine work in virtual time, with worth and bound."""
+    """Compare placement strategies in virtual time, with value and bound."""
     _run(
         "measure_placement",
         scenario=scenario,
@@ -238,17 +256,17 @@
 @app.command("measure-control")
 def measure_control(
     largest: Annotated[
-        int, typer.Option(help="Leave out sizes with more instances.")
+        int, typer.Option(help="Skip sizes with more instances than this.")
     ] = 390,
     as_json: Json = False,
 ) -> None:
-    """Measure control costs by number of instances, core alone."""
+    """Measure the cost of control traffic by the number of instances."""
     _run("measure_control", largest=largest, as_json=as_json)
 
 
 @app.command("measure-changes")
 def measure_changes(as_json: Json = False) -> None:
-    """Measure the spread of changes, time without a leader, and recovery."""
+    """Measure change propagation, time without a leader and recovery time."""
     _run("measure_changes", as_json=as_json)
 
 
@@ -256,16 +274,19 @@
 def soak(
     seed: Annotated[int, typer.Option(help="First seed of the faults.")] = 1,
     seeds: Annotated[int, typer.Option(help="Run this many seeds.")] = 1,
-    minutes: Annotated[float, typer.Option(help="Length of the load of each.")] = 1.0,
-    controls: Annotated[int, typer.Option(help="Control instances.")] = 3,
-    fronts: Annotated[int, typer.Option(help="Fronts.")] = 3,
-    replicas: Annotated[int, typer.Option(help="Stand-in replicas.")] = 6,
-    callers: Annotated[int, typer.Option(help="Callers that send at once.")] = 16,
+    minutes: Annotated[
+        float, typer.Option(help="Minutes of load for each seed.")
+    ] = 1.0,
+    controls: Annotated[int, typer.Option(help="Number of control instances.")] = 3,
+    fronts: Annotated[int, typer.Option(help="Number of fronts.")] = 3,
+    replicas: Annotated[int, typer.Option(help="Number of stand-in replicas.")] = 6,
+    callers: Annotated[int, typer.Option(help="Number of concurrent callers.")] = 16,
     out: Annotated[
-        Path, typer.Option(help="Folder for logs; those of a clean run are removed.")
+        Path,
+        typer.Option(help="Folder for logs; logs of successful seeds are deleted."),
     ] = Path("out/soak"),
 ) -> None:
-    """Run the gateway's processes under random faults and check its promises."""
+    """Run gateway processes under random faults and check the promises."""
     _run(
         "soak",
         seed=seed,
@@ -281,15 +302,17 @@
 
 @app.command("hash-key")
 def hash_key(
-    key: Annotated[str, typer.Argument(help="A secret key, or - for input.")] = "-",
+    key: Annotated[
+        str, typer.Argument(help="A secret key, or - for standard input.")
+    ] = "-",
 ) -> None:
-    """Print the hash of a key, as settings and configuration hold it."""
+    """Print the hash of a key for use in settings and configuration."""
     _run("hash_key", key=key)
 
 
 @app.command()
 def errors() -> None:
-    """Print the list of error kinds, as the page docs/errors.md."""
+    """Print the list of error kinds as Markdown (docs/errors.md)."""
     _run("errors")
 
 
--- a/src/scalebend/commands/apply.py
+++ b/src/scalebend/commands/apply.py
@@ -1,4 +1,4 @@
-"""``scalebend apply``."""
+"""``scalebend apply``: replaces the configuration of the cluster."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
         print_faults(file, error)
         return 2
     try:
-        answer = asyncio.run(
+        applied = asyncio.run(
             _apply(configuration, url, key, base, ChangeId(change), operator)
         )
     except AnswerError as error:
         return report(error)
     if as_json:
-        print(json.dumps({"version": answer.version}))
+        print(json.dumps({"version": applied.version}))
     else:
-        print(f"accepted as version {answer.version}")
+        print(f"accepted as version {applied.version}")
     return 0
 
 
@@ -64,8 +64,8 @@
         current = await fetch("GET", path, key, AcceptedConfiguration)
         base = current.version
     if not change:
-        # The same file on the same base is the same change, also when it is sent
-        # again because its answer was lost.
+        # Derived from the content, so that a retry after a lost response is recognized
+        # as the same change.
         content = msgspec.json.encode((base, configuration))
         change = ChangeId(hashlib.sha256(content).hexdigest()[:32])
     body = ConfigurationChange(
--- a/src/scalebend/commands/ask.py
+++ b/src/scalebend/commands/ask.py
@@ -1,4 +1,4 @@
-"""``scalebend ask``."""
+"""``scalebend ask``: sends a prompt and prints the response."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     max_tokens: int,
     time_limit: float,
 ) -> int:
-    """Send a prompt and print its answer as it comes."""
+    """Send a prompt and print the response as it is streamed."""
     try:
         text = sys.stdin.read() if str(prompt) == "-" else prompt.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -47,19 +47,19 @@
     headers = {**build_headers(key), "X-Time-Limit": str(time_limit)}
     async with (
         aiohttp.ClientSession() as session,
-        session.post(f"{url}/v1/completions", data=body, headers=headers) as answer,
+        session.post(f"{url}/v1/completions", data=body, headers=headers) as response,
     ):
-        if answer.status != 200:
-            print(await answer.text(), file=sys.stderr)
+        if response.status != 200:
+            print(await response.text(), file=sys.stderr)
             return 1
-        return await print_stream(answer)
+        return await print_stream(response)
 
 
-async def print_stream(answer: aiohttp.ClientResponse) -> int:
-    """Print a streamed answer; return 1 when it ended without its end mark."""
-    async for line in answer.content:
+async def print_stream(response: aiohttp.ClientResponse) -> int:
+    """Print a streamed response; return 1 if it ended in an error or early."""
+    async for line in response.content:
         if line.startswith(b"event: error"):
-            problem = await answer.content.readline()
+            problem = await response.content.readline()
             print(problem.decode(), file=sys.stderr)
             return 1
         if line.startswith(b"data: [DONE]"):
--- a/src/scalebend/commands/check.py
+++ b/src/scalebend/commands/check.py
@@ -1,4 +1,4 @@
-"""``scalebend check``."""
+"""``scalebend check``: validates a settings or configuration file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def run(*, file: Path | None, schema: str, as_json: bool) -> int:
-    """Check a file, or print a schema."""
+    """Validate a file, or print a JSON Schema."""
     if schema:
         return _print_schema(schema)
     if file is None:
@@ -50,7 +50,7 @@
 
 
 def _guess_kind(file: Path) -> str:
-    """Only settings name an instance."""
+    """Return the kind of a document; only settings have an instance and addresses."""
     try:
         fields = msgspec.json.decode(file.read_bytes(), type=dict[str, msgspec.Raw])
     except (OSError, msgspec.MsgspecError):
@@ -69,6 +69,6 @@
 
 
 def print_faults(file: Path, error: DocumentError) -> None:
-    """Print each fault with its JSON path."""
+    """Print each fault with its JSON path to standard error."""
     for fault in error.faults:
         print(f"{file}: {fault.path}: {fault.expected}", file=sys.stderr)
--- a/src/scalebend/commands/client.py
+++ b/src/scalebend/commands/client.py
@@ -1,4 +1,4 @@
-"""Requests of commands to an instance."""
+"""HTTP requests from commands to an instance."""
 
 from __future__ import annotations
 
@@ -11,35 +11,38 @@
 T = TypeVar("T")
 
 UNREACHABLE = 3
-TIMEOUT = aiohttp.ClientTimeout(total=30.0)
+REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
 
 
 class AnswerError(Exception):
-    """The instance answered with a problem, or not at all."""
+    """The instance returned an error or could not be reached."""
 
-    def __init__(self, text: str, code: int) -> None:
+    def __init__(self, text: str, exit_code: int) -> None:
         super().__init__(text)
-        self.code = code
+        self.exit_code = exit_code
 
 
 def build_headers(key: str) -> dict[str, str]:
-    """Return the headers that carry a key."""
+    """Return the authorization header for a key; none if the key is empty."""
     return {"Authorization": f"Bearer {key}"} if key else {}
 
 
 async def fetch(
     method: str, url: str, key: str, type_: type[T], body: bytes | None = None
 ) -> T:
-    """Send a request; decode its answer, or raise :class:`AnswerError`."""
+    """Send a request and decode its response.
+
+    Raises :class:`RequestError` if the instance returns an error or is unreachable.
+    """
     try:
         async with (
-            aiohttp.ClientSession(timeout=TIMEOUT) as session,
+            aiohttp.ClientSession(timeout=REQUEST_TIMEOUT) as session,
             session.request(
                 method, url, data=body, headers=build_headers(key)
-            ) as answer,
+            ) as response,
         ):
-            data = await answer.read()
-            status = answer.status
+            data = await response.read()
+            status = response.status
     except (aiohttp.ClientError, TimeoutError) as error:
         raise AnswerError(f"{url}: {error}", UNREACHABLE) from None
     if status >= 300:
@@ -48,6 +51,6 @@
 
 
 def report(error: AnswerError) -> int:
-    """Print an error; return the exit code."""
+    """Print an error to standard error and return the exit code."""
     print(error, file=sys.stderr)
-    return error.code
+    return error.exit_code
--- a/src/scalebend/commands/demo.py
+++ b/src/scalebend/commands/demo.py
@@ -1,4 +1,4 @@
-"""``scalebend demo``: the main job in one process, checked and measured."""
+"""``scalebend demo``: serves a mixed load in one process and checks the responses."""
 
 from __future__ import annotations
 
@@ -59,18 +59,18 @@
 from scalebend.utils.keys import hash_key
 from scalebend.utils.quantiles import read_quantile
 
-ENGINES = 5
+ENGINE_COUNT = 5
 TIME_SCALE = 0.2
-"""The stand-in engines run five times faster than their model's clock."""
+"""Duration of an engine step relative to that of the engine model."""
 
-SHORT_REQUESTS = 80
-LOAD_SECONDS = 12.0
-TIME_LIMIT = 40.0
-ORDERS = 12
-MEMORY_GRACE = 10.0
+SHORT_REQUEST_COUNT = 80
+LOAD_DURATION_S = 12.0
+TIME_LIMIT_S = 40.0
+ORDER_COUNT = 12
+MEMORY_RELEASE_TIMEOUT_S = 10.0
 MODEL = ModelName("lamp-notes")
 SERVICE = ServiceName("work-orders")
-ZONE = AvailabilityZone("pelotas")
+AVAILABILITY_ZONE = AvailabilityZone("pelotas")
 CUSTOMERS = {
     "keepers": 1.0,
     "inspectors": 2.0,
@@ -81,18 +81,18 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What one caller saw; times in seconds, ``error`` a kind or empty."""
+    """Outcome of one request; times in seconds, ``error`` is a kind or empty."""
 
     customer: str
     prompt_tokens: int
     first_token: float
     duration: float
     error: str = ""
-    is_right: bool = True
+    is_expected: bool = True
 
 
 class BandRow(msgspec.Struct, frozen=True):
-    """One row of the closing table."""
+    """One row of the printed table; times in seconds."""
 
     band: str
     requests: int
@@ -103,7 +103,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Outcome of the demo; ``broken`` lists promises that did not hold."""
+    """Outcome of the demo; ``broken`` describes the promises that were broken."""
 
     rows: list[BandRow]
     idle_short: float
@@ -122,19 +122,19 @@
 
 
 def run(*, prompt: Path | None, seed: int, as_json: bool) -> int:
-    """Run the demo; exit code 1 when a promise was broken."""
-    extra = None
+    """Run the demo; return 1 if a promise was broken."""
+    extra_prompt = None
     if prompt is not None:
         try:
-            extra = prompt.read_text()
+            extra_prompt = prompt.read_text()
         except (OSError, UnicodeDecodeError) as error:
             print(f"{prompt}: {error}", file=sys.stderr)
             return 2
-        if not extra:
+        if not extra_prompt:
             print(f"{prompt}: expected a prompt, the file is empty", file=sys.stderr)
             return 2
     configure_logs(Logging(LogFormat.CONSOLE, "error"))
-    report = asyncio.run(_run(extra, seed))
+    report = asyncio.run(_run(extra_prompt, seed))
     if as_json:
         print(msgspec.json.encode(report).decode())
     else:
@@ -142,18 +142,20 @@
     return 1 if report.broken else 0
 
 
-async def _run(extra: str | None, seed: int) -> Report:
+async def _run(extra_prompt: str | None, seed: int) -> Report:
     async with contextlib.AsyncExitStack() as stack:
         fleet = await stack.enter_async_context(_start_fleet())
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        idle = await _measure_idle(session, fleet.url)
-        _say(f"idle fleet: a short request takes {idle:.2f} s")
+        idle_duration = await _measure_idle_duration(session, fleet.url)
+        _print_progress(f"idle fleet: a short request takes {idle_duration:.2f} s")
         started = time.monotonic()
-        samples, orders = await _run_load(session, fleet, seed, extra)
-        _say(f"load done after {time.monotonic() - started:.1f} s")
-        left = await _await_memory(fleet.engines)
+        samples, orders = await _run_load(session, fleet, seed, extra_prompt)
+        _print_progress(f"load done after {time.monotonic() - started:.1f} s")
+        memory_left = await _wait_for_memory_release(fleet.engines)
         is_clean = await drain(fleet.runtime, 5.0)
-        return _build_report(fleet, samples, orders, idle, left, is_clean)
+        return _build_report(
+            fleet, samples, orders, idle_duration, memory_left, is_clean
+        )
 
 
 @contextlib.asynccontextmanager
@@ -165,7 +167,7 @@
         settings = Settings(
             instance=InstanceId("pelotas-1"),
             region=Region("rs-litoral"),
-            availability_zone=ZONE,
+            availability_zone=AVAILABILITY_ZONE,
             listen=Listen(*[f"127.0.0.1:{port}" for port in ports]),
             roles=[Role.ENTRY, Role.CONTROL],
             data_folder=folder,
@@ -176,7 +178,7 @@
                 serve_engine(
                     EngineOptions(
                         upstream=UpstreamId(f"engine-{number}"),
-                        availability_zone=ZONE,
+                        availability_zone=AVAILABILITY_ZONE,
                         models=[LoadedModel(MODEL)],
                         parameters=PARAMETERS,
                         time_scale=TIME_SCALE,
@@ -184,13 +186,13 @@
                     [url],
                 )
             )
-            for number in range(ENGINES)
+            for number in range(ENGINE_COUNT)
         ]
-        options = ServiceOptions(UpstreamId("orders-1"), ZONE, SERVICE)
+        options = ServiceOptions(UpstreamId("orders-1"), AVAILABILITY_ZONE, SERVICE)
         service = await stack.enter_async_context(serve_service(options, [url]))
-        await _wait_ready(runtime, ENGINES + 1)
+        await _wait_ready(runtime, ENGINE_COUNT + 1)
         await _apply_configuration(url)
-        _say(f"one instance, {ENGINES} engines and one service are up")
+        _print_progress(f"one instance, {ENGINE_COUNT} engines and one service are up")
         yield _Fleet(runtime, url, engines, service)
 
 
@@ -219,60 +221,68 @@
     await fetch("POST", path, "", ApplyAnswer, msgspec.json.encode(change))
 
 
-async def _measure_idle(session: aiohttp.ClientSession, url: str) -> float:
+async def _measure_idle_duration(session: aiohttp.ClientSession, url: str) -> float:
     samples = [
-        await _ask(session, url, "keepers", f"idle {number} ".ljust(8_000, "x"), 24)
+        await _send_request(
+            session, url, "keepers", f"idle {number} ".ljust(8_000, "x"), 24
+        )
         for number in range(3)
     ]
     return sorted(sample.duration for sample in samples)[1]
 
 
 async def _run_load(
-    session: aiohttp.ClientSession, fleet: _Fleet, seed: int, extra: str | None
+    session: aiohttp.ClientSession, fleet: _Fleet, seed: int, extra_prompt: str | None
 ) -> tuple[list[Sample], list[str]]:
     chooser = random.Random(seed)
     tasks = []
-    for number in range(SHORT_REQUESTS):
+    for number in range(SHORT_REQUEST_COUNT):
         customer = chooser.choice(["keepers", "keepers", "quarry-desk"])
         tokens = draw_tokens(chooser, 1_000, 3_500)
-        tasks.append((chooser.uniform(0, LOAD_SECONDS), customer, tokens, 24, number))
+        tasks.append(
+            (chooser.uniform(0, LOAD_DURATION_S), customer, tokens, 24, number)
+        )
     plan = [(8_000, 16), (20_000, 8), (60_000, 4), (250_000, 2), (950_000, 1)]
     for tokens, count in plan:
         for number in range(count):
             customer = chooser.choice(["inspectors", "archive"])
-            at = chooser.uniform(0, LOAD_SECONDS / 2)
+            at = chooser.uniform(0, LOAD_DURATION_S / 2)
             tasks.append((at, customer, tokens, 24, number))
     done: list[Sample] = []
 
-    async def ask_later(
+    async def send_later(
         at: float, customer: str, tokens: int, output: int, number: int
     ) -> None:
         await asyncio.sleep(at)
-        head = f"{customer} {number} {tokens} "
-        prompt = head + chooser.choice("abcdefgh") * (tokens * 4 - len(head) - 8)
-        done.append(await _ask(session, fleet.url, customer, prompt, output))
+        prompt_start = f"{customer} {number} {tokens} "
+        prompt = prompt_start + chooser.choice("abcdefgh") * (
+            tokens * 4 - len(prompt_start) - 8
+        )
+        done.append(await _send_request(session, fleet.url, customer, prompt, output))
 
     async def show_progress() -> None:
         while True:
             await asyncio.sleep(2.0)
-            held = sum(engine.model.used_tokens for engine in fleet.engines)
-            _say(f"{len(done)} of {len(tasks)} answered, {held:,} tokens held")
+            used_tokens = sum(engine.model.used_tokens for engine in fleet.engines)
+            _print_progress(
+                f"{len(done)} of {len(tasks)} answered, {used_tokens:,} tokens held"
+            )
 
     progress = asyncio.create_task(show_progress())
-    jobs = [ask_later(*task) for task in tasks]
-    orders = [_send_order(session, fleet.url, f"order-{n}") for n in range(ORDERS)]
-    answer, sent, _ = await asyncio.gather(
-        _ask_extra(session, fleet.url, extra),
+    jobs = [send_later(*task) for task in tasks]
+    orders = [_send_order(session, fleet.url, f"order-{n}") for n in range(ORDER_COUNT)]
+    extra_sample, sent, _ = await asyncio.gather(
+        _send_extra_prompt(session, fleet.url, extra_prompt),
         asyncio.gather(*orders),
         asyncio.gather(*jobs),
     )
     progress.cancel()
-    if answer is not None:
-        done.append(answer)
+    if extra_sample is not None:
+        done.append(extra_sample)
     return done, sent
 
 
-async def _ask(
+async def _send_request(
     session: aiohttp.ClientSession, url: str, customer: str, prompt: str, output: int
 ) -> Sample:
     fields = {
@@ -283,7 +293,7 @@
     }
     headers = {
         "Authorization": f"Bearer {customer}",
-        "X-Time-Limit": str(TIME_LIMIT),
+        "X-Time-Limit": str(TIME_LIMIT_S),
     }
     tokens = len(prompt) // 4
     body = msgspec.json.encode(fields)
@@ -292,58 +302,58 @@
     events = b""
     async with session.post(
         f"{url}/v1/completions", data=body, headers=headers
-    ) as answer:
-        if answer.status != 200:
-            kind = (await answer.json(content_type=None))["type"]
+    ) as response:
+        if response.status != 200:
+            kind = (await response.json(content_type=None))["type"]
             return Sample(customer, tokens, 0.0, time.monotonic() - started, kind)
-        async for data in answer.content.iter_any():
+        async for data in response.content.iter_any():
             first = first or time.monotonic() - started
             events += data
     duration = time.monotonic() - started
-    raw_prompt = msgspec.json.encode(prompt)
-    is_right = _is_right_answer(events, raw_prompt, output)
+    encoded_prompt = msgspec.json.encode(prompt)
+    is_expected = _is_expected_response(events, encoded_prompt, output)
     error = "cut-answer" if b"data: [DONE]" not in events else ""
-    return Sample(customer, tokens, first, duration, error, is_right)
+    return Sample(customer, tokens, first, duration, error, is_expected)
 
 
-def _is_right_answer(events: bytes, raw_prompt: bytes, output: int) -> bool:
+def _is_expected_response(events: bytes, encoded_prompt: bytes, output: int) -> bool:
     position = 0
     for offset in range(output):
-        word = build_word(raw_prompt, offset).encode()
+        word = build_word(encoded_prompt, offset).encode()
         position = events.find(word, position)
         if position < 0 or events.count(word) != 1:
             return False
     return True
 
 
-async def _ask_extra(
-    session: aiohttp.ClientSession, url: str, extra: str | None
+async def _send_extra_prompt(
+    session: aiohttp.ClientSession, url: str, extra_prompt: str | None
 ) -> Sample | None:
-    if extra is None:
+    if extra_prompt is None:
         return None
     body = msgspec.json.encode(
-        {"model": MODEL, "prompt": extra, "max_tokens": 32, "stream": True}
+        {"model": MODEL, "prompt": extra_prompt, "max_tokens": 32, "stream": True}
     )
     headers = {"Authorization": "Bearer quarry-desk"}
     started = time.monotonic()
     async with session.post(
         f"{url}/v1/completions", data=body, headers=headers
-    ) as answer:
-        _say(f"your prompt of {len(extra):,} characters:")
-        if answer.status != 200:
-            text = await answer.text()
+    ) as response:
+        _print_progress(f"your prompt of {len(extra_prompt):,} characters:")
+        if response.status != 200:
+            text = await response.text()
             print(text, file=sys.stderr)
             kind = msgspec.json.decode(text, type=dict[str, object])["type"]
-            return Sample("quarry-desk", len(extra) // 4, 0.0, 0.0, str(kind))
+            return Sample("quarry-desk", len(extra_prompt) // 4, 0.0, 0.0, str(kind))
         first = time.monotonic() - started
-        code = await print_stream(answer)
+        code = await print_stream(response)
     duration = time.monotonic() - started
     error = "cut-answer" if code else ""
-    return Sample("quarry-desk", len(extra) // 4, first, duration, error)
+    return Sample("quarry-desk", len(extra_prompt) // 4, first, duration, error)
 
 
 async def _send_order(session: aiohttp.ClientSession, url: str, order: str) -> str:
-    """Send one order that must not run twice, and send it again."""
+    """Send a non-idempotent call twice with the same idempotency key."""
     headers = {
         "Authorization": "Bearer inspectors",
         "Idempotency-Key": order,
@@ -352,18 +362,18 @@
     for _ in range(2):
         async with session.post(
             f"{url}/services/{SERVICE}/orders", data=b"{}", headers=headers
-        ) as answer:
-            await answer.read()
+        ) as response:
+            await response.read()
         await asyncio.sleep(0.2)
     return order
 
 
-async def _await_memory(engines: list[EngineServer]) -> int:
-    deadline = time.monotonic() + MEMORY_GRACE
+async def _wait_for_memory_release(engines: list[EngineServer]) -> int:
+    deadline = time.monotonic() + MEMORY_RELEASE_TIMEOUT_S
     while True:
-        left = sum(engine.model.used_tokens for engine in engines)
-        if not left or time.monotonic() >= deadline:
-            return left
+        memory_left = sum(engine.model.used_tokens for engine in engines)
+        if not memory_left or time.monotonic() >= deadline:
+            return memory_left
         await asyncio.sleep(0.1)
 
 
@@ -371,45 +381,47 @@
     fleet: _Fleet,
     samples: list[Sample],
     orders: list[str],
-    idle: float,
-    left: int,
+    idle_duration: float,
+    memory_left: int,
     is_clean: bool,
 ) -> Report:
-    twice = sum(count > 1 for count in fleet.service.calls.values())
-    missing = sum(order not in fleet.service.calls for order in orders)
+    run_twice = sum(count > 1 for count in fleet.service.calls.values())
+    not_run = sum(order not in fleet.service.calls for order in orders)
     overfilled = sum(engine.model.refused_full for engine in fleet.engines)
     broken = []
-    if any(sample.duration > TIME_LIMIT + 1.0 for sample in samples):
+    if any(sample.duration > TIME_LIMIT_S + 1.0 for sample in samples):
         broken.append("a request went past its time limit")
-    if not all(sample.is_right for sample in samples if not sample.error):
+    if not all(sample.is_expected for sample in samples if not sample.error):
         broken.append("a caller got an answer that is not its own, whole")
     if any(sample.error == "cut-answer" for sample in samples):
         broken.append("an answer was cut")
-    if left:
-        broken.append(f"{left} tokens of engine memory were not given back")
+    if memory_left:
+        broken.append(f"{memory_left} tokens of engine memory were not given back")
     if overfilled:
         broken.append(f"engines were overfilled {overfilled} times")
-    if twice:
-        broken.append(f"{twice} orders ran twice")
-    if missing:
-        broken.append(f"{missing} orders did not run")
+    if run_twice:
+        broken.append(f"{run_twice} orders ran twice")
+    if not_run:
+        broken.append(f"{not_run} orders did not run")
     if not is_clean:
         broken.append("the planned stop cut a request")
-    rows = [_build_row(band, samples, idle) for band in Band]
-    return Report(rows, idle, len(orders), twice, left, overfilled, broken)
+    rows = [_build_row(band, samples, idle_duration) for band in Band]
+    return Report(
+        rows, idle_duration, len(orders), run_twice, memory_left, overfilled, broken
+    )
 
 
-def _build_row(band: Band, samples: list[Sample], idle: float) -> BandRow:
-    mine = [s for s in samples if find_band(s.prompt_tokens) is band]
-    whole = sorted(s.first_token for s in mine if not s.error)
-    slowdowns = sorted(s.duration / idle for s in mine if not s.error)
-    failed = Counter(sample.error for sample in mine if sample.error)
+def _build_row(band: Band, samples: list[Sample], idle_duration: float) -> BandRow:
+    in_band = [s for s in samples if find_band(s.prompt_tokens) is band]
+    first_tokens = sorted(s.first_token for s in in_band if not s.error)
+    slowdowns = sorted(s.duration / idle_duration for s in in_band if not s.error)
+    failed = Counter(sample.error for sample in in_band if sample.error)
     is_short = band is Band.SHORT and slowdowns
     return BandRow(
         band.label,
-        len(mine),
-        read_quantile(whole, 0.5),
-        read_quantile(whole, 0.95),
+        len(in_band),
+        read_quantile(first_tokens, 0.5),
+        read_quantile(first_tokens, 0.95),
         read_quantile(slowdowns, 0.5) if is_short else None,
         dict(failed),
     )
@@ -436,5 +448,5 @@
         print("every promise that this run checks was kept")
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"[demo] {text}", file=sys.stderr, flush=True)
--- a/src/scalebend/commands/diff.py
+++ b/src/scalebend/commands/diff.py
@@ -1,4 +1,4 @@
-"""``scalebend diff``."""
+"""``scalebend diff``: compares a file with the configuration in force."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run(*, file: Path, url: str, key: str, as_json: bool) -> int:
-    """Print the lines that would change; exit 1 when there are any."""
+    """Print a unified diff; return 1 if there are differences."""
     try:
         wanted = read_configuration(file)
     except DocumentError as error:
--- a/src/scalebend/commands/drain.py
+++ b/src/scalebend/commands/drain.py
@@ -1,4 +1,4 @@
-"""``scalebend drain``."""
+"""``scalebend drain``: drains an instance."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def run(*, url: str, key: str) -> int:
-    """Ask an instance for a planned stop."""
+    """Ask an instance to finish its open requests and stop."""
     try:
         asyncio.run(fetch("POST", f"{url}/admin/drain", key, object))
     except AnswerError as error:
--- a/src/scalebend/commands/errors.py
+++ b/src/scalebend/commands/errors.py
@@ -1,4 +1,4 @@
-"""``scalebend errors``: the closed list of error kinds, as a page."""
+"""``scalebend errors``: prints the list of error kinds as a Markdown page."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 def build_page() -> str:
     """Return the page as Markdown."""
     rows = [
-        f"| `{kind.value}` | {answer.status} | "
-        f"{'yes' if answer.retryable else 'no'} | {answer.title} |"
-        for kind, answer in ANSWERS.items()
+        f"| `{kind.value}` | {error_response.status} | "
+        f"{'yes' if error_response.retryable else 'no'} | {error_response.title} |"
+        for kind, error_response in ANSWERS.items()
     ]
     return HEAD + "\n".join(rows) + "\n"
--- a/src/scalebend/commands/explain_losses.py
+++ b/src/scalebend/commands/explain_losses.py
@@ -1,4 +1,4 @@
-"""``scalebend explain-losses``: why requests were not served in time, from logs."""
+"""``scalebend explain-losses``: explains from logs why requests were not served."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def run(*, logs: list[Path], window: float, as_json: bool) -> int:
-    """Read log files of fronts and print what became of the requests in them."""
+    """Read log files of fronts and print the outcomes of their requests."""
     try:
         requests = read_requests(
             line for path in logs for line in path.read_text().splitlines()
--- a/src/scalebend/commands/gateway.py
+++ b/src/scalebend/commands/gateway.py
@@ -1,4 +1,4 @@
-"""``scalebend gateway``: a front, a control instance or a relay."""
+"""``scalebend gateway``: runs a front, a control instance or a relay."""
 
 from __future__ import annotations
 
@@ -23,9 +23,12 @@
 
 logger = structlog.get_logger(__name__)
 
-_NO_CERTIFICATES = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
-"""Links and upstreams are plain TCP here. The HTTP library reads the certificates of
-the machine when it is imported, a fifth of the processor time of a start."""
+_EMPTY_CERTIFICATE_PATHS = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
+"""Environment that makes the HTTP library load no certificates.
+
+It loads those of the system on import, which slows the start down; links and upstreams
+use plain TCP.
+"""
 
 
 def run(
@@ -35,23 +38,25 @@
     link_listen: str | None,
     listeners: Listeners | None = None,
 ) -> int:
-    """Run the process that the settings describe until SIGTERM.
+    """Run the process for the role in the settings until SIGTERM.
 
-    ``listeners`` are sockets that listen already, if there are any.
+    ``listeners`` are sockets that are already listening, if any.
     """
     exit_when_stopped()
     path = settings or Path(os.environ.get(SETTINGS_VARIABLE, ""))
     try:
-        read = read_gateway_settings(path)
+        gateway_settings = read_gateway_settings(path)
     except DocumentError as error:
         print_faults(path, error)
         return 2
-    read = msgspec.structs.replace(read, link_listen=link_listen)
-    os.environ.update(_NO_CERTIFICATES)
+    gateway_settings = msgspec.structs.replace(
+        gateway_settings, link_listen=link_listen
+    )
+    os.environ.update(_EMPTY_CERTIFICATE_PATHS)
     configure_bounded_logs(log_level)
     try:
-        listeners = open_listeners(read, listeners or Listeners())
-        asyncio.run(_run(read, listeners, path))
+        listeners = open_listeners(gateway_settings, listeners or Listeners())
+        asyncio.run(_run(gateway_settings, listeners, path))
     except StorageError as error:
         print(f"{path}: {error}", file=sys.stderr)
         return 2
@@ -64,8 +69,8 @@
 async def _run(settings: GatewaySettings, listeners: Listeners, path: Path) -> None:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     watch = SettingsWatch(path, settings)
     loop.add_signal_handler(signal.SIGHUP, watch.request_reload)
     logger.info("process starts", instance=settings.name, role=settings.role.value)
--- a/src/scalebend/commands/hash_key.py
+++ b/src/scalebend/commands/hash_key.py
@@ -1,4 +1,4 @@
-"""``scalebend hash-key``."""
+"""``scalebend hash-key``: prints the hash of a key."""
 
 from __future__ import annotations
 
--- a/src/scalebend/commands/measure.py
+++ b/src/scalebend/commands/measure.py
@@ -1,4 +1,4 @@
-"""``scalebend measure``: policies side by side on the same seeded load."""
+"""``scalebend measure``: compares policies on the same seeded load."""
 
 from __future__ import annotations
 
@@ -27,21 +27,23 @@
     policies: list[str],
     as_json: bool,
 ) -> int:
-    """Measure a scenario; exit code 1 when a promise was broken."""
-    read = read_scenario(scenario, Scenario)
-    if read is None:
+    """Measure a scenario; return 1 if a promise was broken."""
+    loaded_scenario = read_scenario(scenario, Scenario)
+    if loaded_scenario is None:
         return 2
     unknown = [policy for policy in policies if policy not in STRATEGIES]
     if unknown:
         print(f"--policy: expected one of {', '.join(STRATEGIES)}", file=sys.stderr)
         return 2
     configure_logs(Logging(LogFormat.CONSOLE, "critical"))
-    figures = _run_all(read, policies or list(STRATEGIES), range(seed, seed + seeds))
+    figures = _run_all(
+        loaded_scenario, policies or list(STRATEGIES), range(seed, seed + seeds)
+    )
     text = "" if as_json else build_table(figures)
     data = msgspec.json.format(msgspec.json.encode(figures), indent=1)
     print(data.decode() if as_json else text)
     if out is not None:
-        _store(out, read, figures, data)
+        _write_results(out, loaded_scenario, figures, data)
     return 1 if any(item.count_broken() for item in figures) else 0
 
 
@@ -56,7 +58,7 @@
 
 
 def build_table(figures: list[Figures]) -> str:
-    """Return a text table: the median over seeds, a row per policy and band."""
+    """Return a text table with a row per policy and band: medians over the seeds."""
     lines = [
         f"scenario {figures[0].scenario}, seeds "
         f"{', '.join(str(s) for s in sorted({f.seed for f in figures}))}, medians",
@@ -90,7 +92,7 @@
         )
         for item in runs:
             if item.count_broken():
-                lines.append(f"  seed {item.seed}: {_list_broken(item)}")
+                lines.append(f"  seed {item.seed}: {_format_broken_promises(item)}")
         shares = [
             f"{share.customer} {share.used:.3f}/{share.entitled:.3f}"
             for share in runs[0].shares
@@ -100,7 +102,7 @@
     return "\n".join(lines)
 
 
-def _list_broken(item: Figures) -> str:
+def _format_broken_promises(item: Figures) -> str:
     return (
         f"past limit {item.past_time_limit}, memory left {item.memory_left}, "
         f"overfilled {item.overfilled}, wrong not-run {item.wrong_not_run}, "
@@ -113,7 +115,9 @@
     return statistics.median(values)
 
 
-def _store(out: Path, scenario: Scenario, figures: list[Figures], data: bytes) -> None:
+def _write_results(
+    out: Path, scenario: Scenario, figures: list[Figures], data: bytes
+) -> None:
     out.mkdir(parents=True, exist_ok=True)
     (out / f"{scenario.name}.json").write_bytes(data)
     (out / f"{scenario.name}.txt").write_text(build_table(figures) + "\n")
--- a/src/scalebend/commands/measure_changes.py
+++ b/src/scalebend/commands/measure_changes.py
@@ -1,4 +1,4 @@
-"""``scalebend measure-changes``: spread of changes, loss of the leader, recovery."""
+"""``scalebend measure-changes``: change propagation, leader loss and recovery."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from scalebend.measuring.changes import measure_recovery, measure_spread
 from scalebend.models.settings import LogFormat, Logging
 
-SIZES = (9, 30, 90)
-CHANGES = (1_000, 10_000)
+INSTANCE_COUNTS = (9, 30, 90)
+CHANGE_COUNTS = (1_000, 10_000)
 
 
 def run(*, as_json: bool) -> int:
-    """Measure and print."""
+    """Measure and print two tables: propagation by instances, recovery by changes."""
     configure_logs(Logging(LogFormat.JSON, "critical"))
-    spreads = [measure_spread(size) for size in SIZES]
+    spreads = [measure_spread(size) for size in INSTANCE_COUNTS]
     recoveries = []
-    for count in CHANGES:
+    for count in CHANGE_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
             recoveries.append(measure_recovery(Path(folder) / "control", count))
     if as_json:
--- a/src/scalebend/commands/measure_control.py
+++ b/src/scalebend/commands/measure_control.py
@@ -1,4 +1,4 @@
-"""``scalebend measure-control``: what control costs an instance, by size."""
+"""``scalebend measure-control``: cost of control traffic per instance, by size."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from scalebend.models.settings import LogFormat, Logging
 
 SIZES = [(9, 20, 10), (30, 46, 150), (90, 138, 460), (390, 600, 2_000)]
-"""Instances, upstreams and customers."""
+"""Counts of instances, upstreams and customers."""
 
 
 def run(*, largest: int, as_json: bool) -> int:
--- a/src/scalebend/commands/measure_overhead.py
+++ b/src/scalebend/commands/measure_overhead.py
@@ -1,7 +1,7 @@
-"""``scalebend measure-overhead``: the real path against a bare pass-through.
+"""``scalebend measure-overhead``: compares scalebend with a minimal proxy.
 
-Everything runs in one process; what the caller and the upstream cost is measured
-without any proxy and subtracted.
+Caller, proxy and upstream run in one process. The cost of the caller and the upstream
+is measured without a proxy and subtracted.
 """
 
 from __future__ import annotations
@@ -49,17 +49,20 @@
 
 MODEL = ModelName("m")
 ROUNDS = 9
-REQUESTS = 200
-FEW_CHUNKS = 4
-MANY_CHUNKS = 204
-STREAMS = 40
-CHUNK_GAP = 0.002
+REQUESTS_PER_ROUND = 200
+SHORT_STREAM_CHUNKS = 4
+LONG_STREAM_CHUNKS = 204
+CONCURRENT_STREAMS = 40
+CHUNK_INTERVAL_S = 0.002
 OPEN_STREAMS = 500
-PAGE = 4096
+PAGE_BYTES = 4096
 
 
 class Overhead(msgspec.Struct, frozen=True):
-    """Processor time in microseconds, memory in MiB."""
+    """Processor time in microseconds, memory in MiB.
+
+    ``bare`` is the minimal proxy, ``real`` is scalebend.
+    """
 
     bare_request: float
     real_request: float
@@ -73,7 +76,7 @@
 
 
 def run(*, as_json: bool) -> int:
-    """Measure and print."""
+    """Measure and print the costs of both proxies."""
     configure_logs(Logging(LogFormat.JSON, "error"))
     result = asyncio.run(_run())
     if as_json:
@@ -106,14 +109,14 @@
             aiohttp.ClientSession(connector=connector)
         )
         urls = {"direct": upstream, "bare": bare, "real": real}
-        idle_memory = _read_memory()
+        idle_memory = _read_memory_mib()
         requests: dict[str, list[float]] = {name: [] for name in urls}
         chunks: dict[str, list[float]] = {name: [] for name in urls}
         for _ in range(ROUNDS):
             for name, url in urls.items():
                 requests[name].append(await _measure_requests(session, url))
                 chunks[name].append(await _measure_chunks(session, url))
-        memory = await _measure_open(session, real)
+        memory = await _measure_open_memory(session, real)
     bare_request, real_request = _subtract_direct(requests)
     bare_chunk, real_chunk = _subtract_direct(chunks)
     return Overhead(
@@ -129,47 +132,52 @@
     )
 
 
-def _subtract_direct(spent: dict[str, list[float]]) -> tuple[float, float]:
-    """Return what bare and real cost above direct: medians over the rounds."""
-    direct = statistics.median(spent["direct"])
-    bare = statistics.median(spent["bare"])
-    real = statistics.median(spent["real"])
+def _subtract_direct(processor_times: dict[str, list[float]]) -> tuple[float, float]:
+    """Return the costs of bare and real above direct, as medians over the rounds."""
+    direct = statistics.median(processor_times["direct"])
+    bare = statistics.median(processor_times["bare"])
+    real = statistics.median(processor_times["real"])
     return bare - direct, real - direct
 
 
-def _read_memory() -> float:
+def _read_memory_mib() -> float:
     with open("/proc/self/statm") as file:
         pages = int(file.read().split()[1])
-    return pages * PAGE / 2**20
+    return pages * PAGE_BYTES / 2**20
 
 
 async def _measure_requests(session: aiohttp.ClientSession, url: str) -> float:
     started = time.process_time()
-    for _ in range(REQUESTS):
-        await _ask(session, url, 1, 0.0)
-    return (time.process_time() - started) / REQUESTS
+    for _ in range(REQUESTS_PER_ROUND):
+        await _send_request(session, url, 1, 0.0)
+    return (time.process_time() - started) / REQUESTS_PER_ROUND
 
 
 async def _measure_chunks(session: aiohttp.ClientSession, url: str) -> float:
-    spent = []
-    for count in (FEW_CHUNKS, MANY_CHUNKS):
+    processor_times = []
+    for count in (SHORT_STREAM_CHUNKS, LONG_STREAM_CHUNKS):
         started = time.process_time()
-        asked = [_ask(session, url, count, CHUNK_GAP) for _ in range(STREAMS)]
-        await asyncio.gather(*asked)
-        spent.append(time.process_time() - started)
-    return (spent[1] - spent[0]) / (STREAMS * (MANY_CHUNKS - FEW_CHUNKS))
+        requests = [
+            _send_request(session, url, count, CHUNK_INTERVAL_S)
+            for _ in range(CONCURRENT_STREAMS)
+        ]
+        await asyncio.gather(*requests)
+        processor_times.append(time.process_time() - started)
+    return (processor_times[1] - processor_times[0]) / (
+        CONCURRENT_STREAMS * (LONG_STREAM_CHUNKS - SHORT_STREAM_CHUNKS)
+    )
 
 
-async def _measure_open(session: aiohttp.ClientSession, url: str) -> float:
-    asked = [_ask(session, url, 30, 0.1) for _ in range(OPEN_STREAMS)]
-    tasks = [asyncio.create_task(work) for work in asked]
+async def _measure_open_memory(session: aiohttp.ClientSession, url: str) -> float:
+    requests = [_send_request(session, url, 30, 0.1) for _ in range(OPEN_STREAMS)]
+    tasks = [asyncio.create_task(work) for work in requests]
     await asyncio.sleep(2.0)
-    memory = _read_memory()
+    memory = _read_memory_mib()
     await asyncio.gather(*tasks)
     return memory
 
 
-async def _ask(
+async def _send_request(
     session: aiohttp.ClientSession, url: str, chunks: int, gap: float
 ) -> None:
     body = msgspec.json.encode(
@@ -184,10 +192,10 @@
     headers = {"Authorization": "Bearer k", "X-Time-Limit": "60"}
     async with session.post(
         f"{url}/v1/completions", data=body, headers=headers
-    ) as answer:
-        if answer.status != 200:
-            raise RuntimeError(await answer.text())
-        async for _ in answer.content.iter_any():
+    ) as response:
+        if response.status != 200:
+            raise RuntimeError(await response.text())
+        async for _ in response.content.iter_any():
             pass
 
 
@@ -238,11 +246,13 @@
 
         async def pass_through(request: web.Request) -> web.StreamResponse:
             body = await request.read()
-            async with session.post(upstream + request.path, data=body) as answer:
-                response = web.StreamResponse(status=answer.status)
-                response.content_type = answer.content_type
+            async with session.post(
+                upstream + request.path, data=body
+            ) as upstream_response:
+                response = web.StreamResponse(status=upstream_response.status)
+                response.content_type = upstream_response.content_type
                 await response.prepare(request)
-                async for data in answer.content.iter_any():
+                async for data in upstream_response.content.iter_any():
                     await response.write(data)
                 return response
 
@@ -266,7 +276,7 @@
         async with serve_instance(settings) as runtime:
             address = upstream.removeprefix("http://")
             task = asyncio.create_task(_announce(url, address))
-            await _prepare(runtime, url)
+            await _wait_and_configure(runtime, url)
             yield url
             task.cancel()
 
@@ -293,7 +303,7 @@
     await announce_for_ever(build, [url], "")
 
 
-async def _prepare(runtime: Runtime, url: str) -> None:
+async def _wait_and_configure(runtime: Runtime, url: str) -> None:
     for _ in range(200):
         is_ready = runtime.instance.read_readiness(runtime.now()).is_ready
         if is_ready and len(runtime.instance.catalog):
--- a/src/scalebend/commands/measure_placement.py
+++ b/src/scalebend/commands/measure_placement.py
@@ -1,4 +1,4 @@
-"""``scalebend measure-placement``: places engine work in virtual time."""
+"""``scalebend measure-placement``: compares placement strategies in virtual time."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 def run(
     *, scenario: Path, seed: int, seeds: int, deciders: list[str], as_json: bool
 ) -> int:
-    """Play the scenario with each decider and print what callers got."""
-    read = read_scenario(scenario, PlacementScenario)
-    if read is None:
+    """Run the scenario with each decider and print the outcomes for callers."""
+    loaded_scenario = read_scenario(scenario, PlacementScenario)
+    if loaded_scenario is None:
         return 2
     known = [decider.value for decider in Decider]
     if any(name not in known for name in deciders):
@@ -33,14 +33,21 @@
     numbers = range(seed, seed + seeds)
     with ProcessPoolExecutor() as pool:
         figures = [
-            build_figures(one, list(pool.map(partial(_play, read, one), numbers)))
-            for one in chosen
+            build_figures(
+                chosen_decider,
+                list(
+                    pool.map(
+                        partial(_run_seed, loaded_scenario, chosen_decider), numbers
+                    )
+                ),
+            )
+            for chosen_decider in chosen
         ]
     text = msgspec.json.format(msgspec.json.encode(figures)).decode()
     print(text if as_json else format_table(figures))
     return 0
 
 
-def _play(scenario: PlacementScenario, decider: Decider, seed: int) -> list[Result]:
+def _run_seed(scenario: PlacementScenario, decider: Decider, seed: int) -> list[Result]:
     configure_logs(Logging(LogFormat.JSON, "critical"))
     return PlacementRun(scenario, decider, seed).run()
--- a/src/scalebend/commands/run.py
+++ b/src/scalebend/commands/run.py
@@ -1,4 +1,4 @@
-"""``scalebend run``."""
+"""``scalebend run``: runs an instance."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 def run(*, settings: Path) -> int:
-    """Run an instance until it is told to stop."""
+    """Run an instance until SIGTERM, SIGINT or a drain request."""
     try:
-        read = read_settings(settings)
+        instance_settings = read_settings(settings)
     except DocumentError as error:
         print_faults(settings, error)
         return 2
-    configure_logs(read.log)
+    configure_logs(instance_settings.log)
     try:
-        return asyncio.run(_run(read))
+        return asyncio.run(_run(instance_settings))
     except StorageError as error:
         print(f"{settings}: {error}", file=sys.stderr)
         return 2
@@ -40,8 +40,8 @@
 async def _run(settings: Settings) -> int:
     async with serve_instance(settings) as runtime:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, runtime.stopped.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, runtime.stopped.set)
         await runtime.stopped.wait()
         is_clean = await drain(runtime, settings.limits.drain_time)
         logger.info("instance stops", clean=is_clean)
--- a/src/scalebend/commands/scenario_file.py
+++ b/src/scalebend/commands/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reads the scenario of a measurement; shared by the commands that take one."""
+"""Reading of scenario files for the measuring commands."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_scenario(path: Path, type_: type[T]) -> T | None:
-    """Return the scenario in ``path``; if it has faults, print them and return none."""
+    """Return the scenario in ``path``; if invalid, print an error and return none."""
     try:
         return decode_document(path.read_bytes(), type_, ErrorKind.INVALID_SETTINGS)
     except OSError as error:
--- a/src/scalebend/commands/soak.py
+++ b/src/scalebend/commands/soak.py
@@ -1,4 +1,4 @@
-"""``scalebend soak``: the gateway's processes under random faults, promises checked."""
+"""``scalebend soak``: runs gateway processes under random faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from scalebend.soak.layout import build_layout
 from scalebend.soak.runner import SoakOptions, SoakReport, run_soak
 
-LOG_NAME = "soak.log"
+LOG_FILE_NAME = "soak.log"
 
 
 def run(
@@ -27,7 +27,7 @@
     callers: int,
     out: Path,
 ) -> int:
-    """Run the seeds one after the other; return 1 if any broke a promise."""
+    """Run the seeds one after another; return 1 if a promise was broken."""
     broken = 0
     for number in range(seed, seed + seeds):
         folder = out / f"seed-{number}"
@@ -35,10 +35,10 @@
         folder.mkdir(parents=True)
         layout = build_layout(controls, fronts, replicas)
         options = SoakOptions(number, 60.0 * minutes, layout, callers, folder.resolve())
-        with (folder / LOG_NAME).open("w") as log:
+        with (folder / LOG_FILE_NAME).open("w") as log:
             structlog.configure(logger_factory=structlog.WriteLoggerFactory(file=log))
             report = asyncio.run(_run_until_stopped(options))
-        _print(report, folder)
+        _print_report(report, folder)
         if report.violations:
             broken += 1
         else:
@@ -48,18 +48,18 @@
 
 
 async def _run_until_stopped(options: SoakOptions) -> SoakReport:
-    """Run one seed; a stop signal ends it like Ctrl-C, and all that it started."""
-    running = asyncio.current_task()
-    assert running is not None
+    """Run one seed; SIGTERM cancels it like Ctrl-C, with all processes it started."""
+    task = asyncio.current_task()
+    assert task is not None
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, running.cancel)
+    loop.add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         return await run_soak(options)
     finally:
         loop.remove_signal_handler(signal.SIGTERM)
 
 
-def _print(report: SoakReport, folder: Path) -> None:
+def _print_report(report: SoakReport, folder: Path) -> None:
     verdict = "broken" if report.violations else "kept"
     print(
         f"seed {report.seed}: {verdict}; {report.requests} requests, "
--- a/src/scalebend/commands/start_gateway.py
+++ b/src/scalebend/commands/start_gateway.py
@@ -1,9 +1,8 @@
-"""Starts a gateway process on the platform: it listens first, and loads the rest then.
+"""Entry point of a gateway process: listens for callers before it loads the rest.
 
-After a loss of all power callers come back while processes start. Those who find a port
-closed have used up one of their two tries; those who are let in wait for the answer. So
-a front listens before anything is loaded that this does not need: after 0.07 to 0.09 s
-of processor time instead of 0.20 to 0.26 s, on an eighth of a core a second sooner.
+After a power loss callers return while processes start. A refused connection uses up
+one of a caller's two attempts, whereas an accepted connection waits for the response.
+A front therefore imports only what it needs to listen first.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 
 
 def main() -> int:
-    """Run the process that the platform's settings describe until SIGTERM."""
+    """Run the process for the role in the platform's settings until SIGTERM."""
     exit_when_stopped()
     listeners = Listeners()
     address = read_callers_address(os.environ.get(SETTINGS_VARIABLE, ""))
     if address is not None:
         listeners.try_open(address)
-    # Not at the top: importing it is most of what callers would wait for.
+    # Imported after the port is open, because this takes most of the start.
     from scalebend.commands.gateway import run
 
     return run(settings=None, log_level="info", link_listen=None, listeners=listeners)
--- a/src/scalebend/commands/status.py
+++ b/src/scalebend/commands/status.py
@@ -1,4 +1,4 @@
-"""``scalebend status``."""
+"""``scalebend status``: prints the state of the cluster as one instance sees it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def run(*, url: str, key: str, as_json: bool) -> int:
-    """Print what an instance knows."""
+    """Print the state that an instance reports."""
     try:
         status = asyncio.run(fetch("GET", f"{url}/admin/status", key, Status))
     except AnswerError as error:
--- a/src/scalebend/commands/version.py
+++ b/src/scalebend/commands/version.py
@@ -1,4 +1,4 @@
-"""``scalebend version``."""
+"""``scalebend version``: prints the version."""
 
 from __future__ import annotations
 
--- a/src/scalebend/standins/__init__.py
+++ b/src/scalebend/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the engines and services that callers use."""
+"""Stand-ins for engines and services, for the demo, measurements and tests."""
--- a/src/scalebend/standins/announcer.py
+++ b/src/scalebend/standins/announcer.py
@@ -1,4 +1,4 @@
-"""Announces a stand-in to the instances, as any upstream does."""
+"""Announces a stand-in upstream to the instances."""
 
 from __future__ import annotations
 
@@ -11,26 +11,29 @@
 
 from scalebend.models.upstream import Announcement
 
-ANNOUNCE_PERIOD = 0.5
-ANNOUNCE_TIMEOUT = 1.0
+ANNOUNCE_INTERVAL_S = 0.5
+ANNOUNCE_TIMEOUT_S = 1.0
 
 
 async def announce_for_ever(
     build: Callable[[], Announcement], urls: list[str], key: str
 ) -> None:
-    """Announce what ``build`` returns, to each of ``urls`` in turn until one takes."""
+    """Send an announcement at a fixed interval, to the next URL that accepts it.
+
+    ``build`` returns the announcement to send.
+    """
     headers = {"Authorization": f"Bearer {key}"}
-    timeout = aiohttp.ClientTimeout(total=ANNOUNCE_TIMEOUT)
-    turn = 0
+    timeout = aiohttp.ClientTimeout(total=ANNOUNCE_TIMEOUT_S)
+    url_index = 0
     async with aiohttp.ClientSession(headers=headers, timeout=timeout) as session:
         while True:
             body = msgspec.json.encode(build())
             for _ in urls:
-                turn += 1
-                url = f"{urls[turn % len(urls)]}/upstreams/announce"
+                url_index += 1
+                url = f"{urls[url_index % len(urls)]}/upstreams/announce"
                 if await _post(session, url, body):
                     break
-            await asyncio.sleep(ANNOUNCE_PERIOD)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
 
 async def _post(session: aiohttp.ClientSession, url: str, body: bytes) -> bool:
--- a/src/scalebend/standins/engine_model.py
+++ b/src/scalebend/standins/engine_model.py
@@ -1,9 +1,8 @@
-"""Model of one engine in virtual or real time, without I/O.
+"""Model of an engine with continuous batching, in virtual or real time, without I/O.
 
-Continuous batching: each step generates one token for every decoding sequence and
-prefills one chunk of the prompt that comes first by priority. Steps between two
-changes of the batch are alike and are taken together. The assumptions stand in
-docs/measuring.md.
+Each batch step generates one token for every decoding sequence and prefills one chunk
+of the prompt with the highest priority. Identical steps between two changes of the
+batch are simulated together. docs/measuring.md lists the assumptions.
 """
 
 from __future__ import annotations
@@ -18,17 +17,19 @@
 from scalebend.models.upstream import CacheEvent
 from scalebend.utils.division import divide_up
 
-PREFILL_ONLY_OVERHEAD = 0.002
-"""Seconds of a step that generates no token, besides its prefill."""
+PREFILL_ONLY_OVERHEAD_S = 0.002
+"""Fixed duration of a step without decoding sequences, in addition to its prefill."""
 
-SEQUENCE_OVERHEAD = 0.0001
-"""Seconds that each decoding sequence adds to a step."""
+SEQUENCE_OVERHEAD_S = 0.0001
+"""Duration that each decoding sequence adds to a step."""
 
 
 class EngineParameters(msgspec.Struct, frozen=True):
-    """Capacity of an engine; rates in tokens a second, memory in tokens.
+    """Capacity of an engine; rates in tokens per second, memory in tokens.
 
-    ``transfer_rate`` is the speed at which KV cache is imported.
+    ``step_time`` is the duration in seconds of a batch step without its prefill;
+    ``chunk_tokens`` and ``idle_chunk_tokens`` are the sizes of a prefill chunk with and
+    without decoding sequences; ``transfer_rate`` is that of a KV cache import.
     """
 
     memory_tokens: int = 400_000
@@ -41,7 +42,10 @@
 
 
 class Sequence(msgspec.Struct):
-    """One attempt on the engine."""
+    """One attempt on the engine.
+
+    ``last_step`` is the number of the batch step that generates the last token.
+    """
 
     attempt: AttemptId
     memory_tokens: int
@@ -52,13 +56,13 @@
     speed: int = 1
     prefixes: tuple[tuple[int, int], ...] = ()
     first_token: float | None = None
-    ends_at_count: int = 0
+    last_step: int = 0
     is_prefill_only: bool = False
     is_decoding: bool = False
 
 
 class FirstToken(msgspec.Struct, frozen=True):
-    """Event: the prompt is prefilled and one token generated."""
+    """Event: the prefill ended and the first token was generated."""
 
     attempt: AttemptId
     at: float
@@ -76,7 +80,7 @@
 
 
 class _Span(msgspec.Struct):
-    """Equal steps that run now."""
+    """Identical batch steps in progress; ``step`` is the duration of one."""
 
     start: float
     step: float
@@ -86,7 +90,7 @@
 
 
 class EngineModel:
-    """Batch, memory and prefix cache of one engine."""
+    """Batch, KV cache memory and prefix cache of one engine."""
 
     def __init__(self, parameters: EngineParameters) -> None:
         self.parameters = parameters
@@ -94,29 +98,29 @@
         self.refused_full = 0
         self._sequences: dict[AttemptId, Sequence] = {}
         self._tombstones: OrderedDict[AttemptId, None] = OrderedDict()
-        self._prefill: list[tuple[int, int, AttemptId]] = []
-        self._decoding: list[tuple[int, AttemptId]] = []
+        self._prefill_queue: list[tuple[int, int, AttemptId]] = []
+        self._decoding_queue: list[tuple[int, AttemptId]] = []
         self._decoding_count = 0
-        self._count = 0
-        self._order = 0
+        self._step_count = 0
+        self._submit_count = 0
         self._span: _Span | None = None
-        self._cache: OrderedDict[int, int] = OrderedDict()
-        self._cache_tokens = 0
-        self._events: list[CacheEvent] = []
-        self._sequence = 0
+        self._prefix_cache: OrderedDict[int, int] = OrderedDict()
+        self._prefix_cache_tokens = 0
+        self._cache_events: list[CacheEvent] = []
+        self._event_sequence = 0
 
     def __len__(self) -> int:
         return len(self._sequences)
 
     def list_running(self) -> list[AttemptId]:
-        """Attempts that hold memory."""
+        """Return the attempts that have memory reserved."""
         return list(self._sequences)
 
     def count_cached(self, prefixes: tuple[tuple[int, int], ...]) -> int:
-        """Tokens of the longest cached prefix; pairs are (hash, tokens)."""
+        """Return the tokens of the longest cached prefix; pairs are (hash, tokens)."""
         for prefix, tokens in reversed(prefixes):
-            if prefix in self._cache:
-                self._cache.move_to_end(prefix)
+            if prefix in self._prefix_cache:
+                self._prefix_cache.move_to_end(prefix)
                 return tokens
         return 0
 
@@ -132,11 +136,11 @@
         speed: int = 1,
         is_prefill_only: bool = False,
     ) -> Sequence | None:
-        """Start an attempt; ``None`` when it was cancelled before or does not fit.
+        """Start an attempt; return ``None`` if it was cancelled or does not fit.
 
-        ``speed`` is the number of engines that prefill the prompt together. With
-        ``is_prefill_only`` the KV cache is kept after the first token, for export,
-        until the attempt is cancelled.
+        ``speed`` is the number of engines in the prefill group. With
+        ``is_prefill_only`` the KV cache is kept for export after the first token, until
+        the attempt is cancelled.
         """
         generated = 1 if is_prefill_only else output_tokens
         memory = divide_up(prompt_tokens + generated, speed)
@@ -150,32 +154,35 @@
         sequence.prefill_left = max(1, divide_up(prompt_tokens - cached, speed))
         sequence.prefixes = prefixes
         sequence.is_prefill_only = is_prefill_only
-        self._cut_span(now)
-        self._order += 1
-        heapq.heappush(self._prefill, (-priority, self._order, attempt))
+        self._truncate_span(now)
+        self._submit_count += 1
+        heapq.heappush(self._prefill_queue, (-priority, self._submit_count, attempt))
         return sequence
 
     def begin_import(
         self, attempt: AttemptId, *, prompt_tokens: int, output_tokens: int
     ) -> float | None:
-        """Reserve memory for an import; return its duration, or ``None``."""
+        """Reserve memory for a KV cache import; return its duration in seconds.
+
+        Returns ``None`` if the attempt was cancelled or does not fit.
+        """
         if not self.hold(attempt, prompt_tokens + output_tokens):
             return None
         self._sequences[attempt].output_tokens = output_tokens
         return prompt_tokens / self.parameters.transfer_rate
 
     def finish_import(self, attempt: AttemptId, now: float) -> bool:
-        """The KV cache arrived: decode from the second token on."""
+        """Start decoding at the second token; false if the attempt was cancelled."""
         sequence = self._sequences.get(attempt)
         if sequence is None:
             return False
-        self._cut_span(now)
+        self._truncate_span(now)
         sequence.first_token = now
         self._begin_decoding(sequence)
         return True
 
     def hold(self, attempt: AttemptId, memory_tokens: int) -> bool:
-        """Hold memory for an attempt, for itself or as a helper of another engine."""
+        """Reserve memory for an attempt of this engine or as a prefill helper."""
         if attempt in self._tombstones or attempt in self._sequences:
             return False
         if self.used_tokens + memory_tokens > self.parameters.memory_tokens:
@@ -183,20 +190,20 @@
             return False
         self._sequences[attempt] = Sequence(attempt, memory_tokens, 1, 0)
         self.used_tokens += memory_tokens
-        self._evict()
+        self._evict_prefixes()
         return True
 
     def cancel(self, attempt: AttemptId, now: float) -> None:
-        """Stop an attempt and refuse it should it still arrive."""
+        """Stop an attempt, or reject it if it arrives later."""
         self._tombstones[attempt] = None
         while len(self._tombstones) > 10_000:
             self._tombstones.popitem(last=False)
         if attempt in self._sequences:
-            self._cut_span(now)
-            self._drop(attempt)
+            self._truncate_span(now)
+            self._remove(attempt)
 
     def plan(self, now: float, most_steps: int | None = None) -> float | None:
-        """Begin the next steps if none run; return when they end."""
+        """Begin the next steps if none are in progress; return when they end."""
         if self._span is None:
             self._span = self._build_span(now, most_steps)
         if self._span is None:
@@ -204,27 +211,27 @@
         return self._span.start + self._span.step * self._span.steps
 
     def complete(self, now: float) -> list[EngineEvent]:
-        """End the running steps when their time has come; return what happened."""
+        """Finish the steps in progress if they have ended; return their events."""
         span = self._span
         if span is None or now < span.start + span.step * span.steps - 1e-9:
             return []
         self._span = None
-        return self._apply(span, span.steps)
+        return self._apply_steps(span, span.steps)
 
     def take_cache_events(self) -> list[CacheEvent]:
-        """Cache events since the last call."""
-        events = self._events
-        self._events = []
+        """Return the cache events since the last call."""
+        events = self._cache_events
+        self._cache_events = []
         return events
 
     def count_generated(self, attempt: AttemptId) -> int:
-        """Tokens generated so far for a running attempt."""
+        """Return the number of tokens generated so far for a running attempt."""
         sequence = self._sequences.get(attempt)
         if sequence is None or sequence.first_token is None:
             return 0
         if not sequence.is_decoding:
             return 1
-        return sequence.output_tokens - (sequence.ends_at_count - self._count)
+        return sequence.output_tokens - (sequence.last_step - self._step_count)
 
     def _build_span(self, now: float, most_steps: int | None) -> _Span | None:
         prefilling = self._find_prefilling()
@@ -239,46 +246,48 @@
             size = parameters.chunk_tokens if decoding else parameters.idle_chunk_tokens
             chunk = min(size, left)
             steps = min(steps, max(1, left // chunk))
-        base = PREFILL_ONLY_OVERHEAD
+        base = PREFILL_ONLY_OVERHEAD_S
         if decoding:
-            self._drop_stale()
-            base = parameters.step_time + SEQUENCE_OVERHEAD * decoding
-            steps = min(steps, self._decoding[0][0] - self._count)
+            self._drop_removed()
+            base = parameters.step_time + SEQUENCE_OVERHEAD_S * decoding
+            steps = min(steps, self._decoding_queue[0][0] - self._step_count)
         step = base + chunk / parameters.prefill_rate
         return _Span(now, step, steps, prefilling, chunk)
 
     def _find_prefilling(self) -> AttemptId | None:
-        while self._prefill:
-            attempt = self._prefill[0][2]
+        while self._prefill_queue:
+            attempt = self._prefill_queue[0][2]
             sequence = self._sequences.get(attempt)
             if sequence is not None and sequence.prefill_left > 0:
                 return attempt
-            heapq.heappop(self._prefill)
+            heapq.heappop(self._prefill_queue)
         return None
 
-    def _drop_stale(self) -> None:
-        while self._decoding and self._decoding[0][1] not in self._sequences:
-            heapq.heappop(self._decoding)
+    def _drop_removed(self) -> None:
+        while (
+            self._decoding_queue and self._decoding_queue[0][1] not in self._sequences
+        ):
+            heapq.heappop(self._decoding_queue)
 
-    def _cut_span(self, now: float) -> None:
-        """End the running steps after the one in progress."""
+    def _truncate_span(self, now: float) -> None:
+        """Shorten the steps in progress to end with the current one."""
         span = self._span
         if span is None:
             return
         done = math.ceil((now - span.start) / span.step - 1e-9)
         span.steps = min(span.steps, max(1, done))
 
-    def _apply(self, span: _Span, steps: int) -> list[EngineEvent]:
+    def _apply_steps(self, span: _Span, steps: int) -> list[EngineEvent]:
         events: list[EngineEvent] = []
         end = span.start + span.step * steps
-        self._count += steps
-        self._drop_stale()
-        while self._decoding and self._decoding[0][0] <= self._count:
-            attempt = heapq.heappop(self._decoding)[1]
+        self._step_count += steps
+        self._drop_removed()
+        while self._decoding_queue and self._decoding_queue[0][0] <= self._step_count:
+            attempt = heapq.heappop(self._decoding_queue)[1]
             sequence = self._sequences[attempt]
             events.append(Finished(attempt, end, sequence.output_tokens))
-            self._drop(attempt)
-            self._drop_stale()
+            self._remove(attempt)
+            self._drop_removed()
         if span.prefilling in self._sequences:
             events += self._advance_prefill(span, steps, end)
         return events
@@ -292,63 +301,63 @@
         if sequence.prefill_left > 0:
             return []
         sequence.first_token = end
-        self._store_prefixes(sequence)
+        self._cache_prefixes(sequence)
         attempt = sequence.attempt
         events: list[EngineEvent] = [FirstToken(attempt, end)]
         if sequence.is_prefill_only and sequence.output_tokens > 1:
             return events
         if sequence.output_tokens <= 1:
             events.append(Finished(attempt, end, 1))
-            self._drop(attempt)
+            self._remove(attempt)
             return events
         self._begin_decoding(sequence)
         return events
 
     def _begin_decoding(self, sequence: Sequence) -> None:
-        # Counted from the end of the running steps: a sequence joins between two.
+        # A sequence joins the batch at the end of the steps in progress.
         running = self._span.steps if self._span is not None else 0
-        count = self._count + running
-        sequence.ends_at_count = count + sequence.output_tokens - 1
+        count = self._step_count + running
+        sequence.last_step = count + sequence.output_tokens - 1
         sequence.is_decoding = True
-        heapq.heappush(self._decoding, (sequence.ends_at_count, sequence.attempt))
+        heapq.heappush(self._decoding_queue, (sequence.last_step, sequence.attempt))
         self._decoding_count += 1
 
-    def _drop(self, attempt: AttemptId) -> None:
+    def _remove(self, attempt: AttemptId) -> None:
         sequence = self._sequences.pop(attempt)
         self.used_tokens -= sequence.memory_tokens
         if sequence.is_decoding:
             self._decoding_count -= 1
 
-    def _store_prefixes(self, sequence: Sequence) -> None:
+    def _cache_prefixes(self, sequence: Sequence) -> None:
         stored = []
-        shorter = 0
+        shorter_tokens = 0
         sizes = []
         for prefix, tokens in sequence.prefixes:
-            sizes.append((prefix, tokens - shorter))
-            shorter = tokens
-        # The longest is touched first, so that it is also the first to be evicted:
-        # a cached prefix is of no use without the shorter ones.
+            sizes.append((prefix, tokens - shorter_tokens))
+            shorter_tokens = tokens
+        # The longest is marked as used first, so that it is evicted first: a cached
+        # prefix is of no use without the shorter ones.
         for prefix, size in reversed(sizes):
-            if prefix not in self._cache:
+            if prefix not in self._prefix_cache:
                 stored.append(prefix)
-                self._cache_tokens += size
-                self._cache[prefix] = size
-            self._cache.move_to_end(prefix)
+                self._prefix_cache_tokens += size
+                self._prefix_cache[prefix] = size
+            self._prefix_cache.move_to_end(prefix)
         if stored:
             self._add_cache_event(stored, [])
-        self._evict()
+        self._evict_prefixes()
 
-    def _evict(self) -> None:
-        # The cache lives in memory that no sequence holds.
-        room = self.parameters.memory_tokens - self.used_tokens
+    def _evict_prefixes(self) -> None:
+        # The prefix cache uses the memory that is not reserved.
+        available_tokens = self.parameters.memory_tokens - self.used_tokens
         evicted = []
-        while self._cache and self._cache_tokens > room:
-            prefix, size = self._cache.popitem(last=False)
-            self._cache_tokens -= size
+        while self._prefix_cache and self._prefix_cache_tokens > available_tokens:
+            prefix, size = self._prefix_cache.popitem(last=False)
+            self._prefix_cache_tokens -= size
             evicted.append(prefix)
         if evicted:
             self._add_cache_event([], evicted)
 
     def _add_cache_event(self, stored: list[int], evicted: list[int]) -> None:
-        self._sequence += 1
-        self._events.append(CacheEvent(self._sequence, stored, evicted))
+        self._event_sequence += 1
+        self._cache_events.append(CacheEvent(self._event_sequence, stored, evicted))
--- a/src/scalebend/standins/engine_server.py
+++ b/src/scalebend/standins/engine_server.py
@@ -1,8 +1,8 @@
-"""A small engine over HTTP, for the demo and the tests.
+"""A stand-in engine over HTTP, for the demo and the tests.
 
-It speaks the interface of docs/interface-upstreams.md: streamed completions,
-resumption, cancellation, orders, and announcements to an instance. The answer to a
-prompt is deterministic, so that a caller can tell whether it got its own and whole.
+It implements docs/interface-upstreams.md: streamed completions, resumption,
+cancellation, orders, and announcements to an instance. The response to a prompt is
+deterministic, so that a caller can check that it got a complete response to its own.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
     FirstToken,
 )
 
-KEEP_FINISHED = 10.0
-"""Seconds a finished stream can still be resumed."""
+FINISHED_RETENTION_S = 10.0
+"""How long a finished stream can still be resumed."""
 
 BYTES_PER_TOKEN = 4
 
 
 class EngineOptions(msgspec.Struct, frozen=True):
-    """Identity of a stand-in engine; ``time_scale`` below 1 makes it faster."""
+    """Identity and capacity of an engine; a ``time_scale`` below 1 makes it faster."""
 
     upstream: UpstreamId
     availability_zone: AvailabilityZone
@@ -60,13 +60,13 @@
 
 
 def build_word(prompt: bytes, offset: int) -> str:
-    """Return the token at ``offset`` of the answer to ``prompt``."""
+    """Return the token at ``offset`` of the response to ``prompt``."""
     seed = hashlib.sha256(prompt).hexdigest()[:12]
     return f"{seed}-{offset} "
 
 
 class _Stream(msgspec.Struct):
-    """Generated tokens of one attempt and who waits for more."""
+    """Generated tokens of one attempt; ``changed`` is set when there are more."""
 
     prompt: bytes
     output_tokens: int
@@ -79,7 +79,7 @@
 
 
 class EngineServer:
-    """One stand-in engine."""
+    """A stand-in engine whose attributes make it fail in tests."""
 
     def __init__(self, options: EngineOptions, incarnation: int = 1) -> None:
         self.options = options
@@ -98,35 +98,35 @@
         self.cuts_every_stream = False
         self.ignore_cancellations = 0
         self.ends_on: bytes | None = None
-        """A prompt that contains this ends the engine, which starts again at once."""
+        """A prompt that contains this crashes the engine, which restarts at once."""
 
         self.ends = 0
         self.pause: str | None = None
-        """What ``Retry-After`` says with which it turns away all that comes."""
+        """If set, every request is rejected with this ``Retry-After`` value."""
 
         self.refusal_status = 503
 
         self.turned_away: list[float] = []
-        """When it did, in seconds of the loop."""
+        """Times of the rejections, on the clock of the event loop."""
 
-        self._callers: set[asyncio.Transport] = set()
+        self._open_transports: set[asyncio.Transport] = set()
         self._streams: dict[AttemptId, _Stream] = {}
-        self._wake = asyncio.Event()
+        self._work_added = asyncio.Event()
 
     def build_app(self) -> web.Application:
-        """Return the engine's HTTP application."""
+        """Return the HTTP application of the engine."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_post("/v1/completions", self._complete)
         app.router.add_post("/v1/chat/completions", self._complete)
         app.router.add_get("/v1/requests/{attempt}/stream", self._resume)
         app.router.add_delete("/v1/requests/{attempt}", self._cancel)
-        app.router.add_put("/v1/requests/{attempt}/memory", self._hold)
+        app.router.add_put("/v1/requests/{attempt}/memory", self._reserve_memory)
         app.router.add_get("/v1/requests/{attempt}/kv", self._export)
-        app.router.add_post("/v1/orders", self._take_order)
+        app.router.add_post("/v1/orders", self._accept_order)
         return app
 
     def build_announcement(self) -> Announcement:
-        """Return what the engine says of itself now."""
+        """Return an announcement of the current state of the engine."""
         self._announcements += 1
         parameters = self.options.parameters
         scale = self.options.time_scale
@@ -151,20 +151,20 @@
         )
 
     async def run_steps(self) -> None:
-        """Run engine steps for ever."""
+        """Run batch steps until cancelled."""
         loop = asyncio.get_running_loop()
         scale = self.options.time_scale
         while True:
             now = loop.time() / scale
             end = self.model.plan(now, most_steps=1)
             if end is None:
-                self._wake.clear()
-                await self._wake.wait()
+                self._work_added.clear()
+                await self._work_added.wait()
                 continue
             await asyncio.sleep(max(0.0, (end - now) * scale))
-            self._deliver(self.model.complete(max(end, loop.time() / scale)))
+            self._apply_events(self.model.complete(max(end, loop.time() / scale)))
 
-    def _deliver(self, events: list[FirstToken | Finished]) -> None:
+    def _apply_events(self, events: list[FirstToken | Finished]) -> None:
         for attempt, stream in list(self._streams.items()):
             generated = self.model.count_generated(attempt)
             if generated > stream.generated:
@@ -179,7 +179,9 @@
                     stream.generated = output_tokens
                     stream.changed.set()
                     loop = asyncio.get_running_loop()
-                    loop.call_later(KEEP_FINISHED, self._streams.pop, attempt, None)
+                    loop.call_later(
+                        FINISHED_RETENTION_S, self._streams.pop, attempt, None
+                    )
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         attempt = AttemptId(request.headers.get("X-Request-Id", ""))
@@ -191,15 +193,15 @@
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
         prompt = bytes(fields.get("prompt") or fields.get("messages") or b"")
         if request.transport is not None:
-            self._callers.add(request.transport)
+            self._open_transports.add(request.transport)
         if self.pause is not None:
-            return self._turn_away(self.pause)
+            return self._reject(self.pause)
         if self.ends_on is not None and self.ends_on in prompt:
-            return self._start_again()
+            return self._crash_and_restart()
         output = msgspec.json.decode(fields.get("max_tokens", msgspec.Raw(b"16")))
         prompt_tokens = max(1, len(prompt) // BYTES_PER_TOKEN)
-        part = request.headers.get("X-Part", "whole")
-        if part == "decode":
+        phase = request.headers.get("X-Part", "whole")
+        if phase == "decode":
             return await self._import(request, attempt, prompt, prompt_tokens, output)
         sequence = self.model.submit(
             attempt,
@@ -209,7 +211,7 @@
             now=asyncio.get_running_loop().time() / self.options.time_scale,
             prefixes=_list_prefixes(prompt),
             speed=int(request.headers.get("X-Group-Size", "1")),
-            is_prefill_only=part == "prefill",
+            is_prefill_only=phase == "prefill",
         )
         if sequence is None:
             detail = {"kind": "overloaded", "ran": "no"}
@@ -218,26 +220,26 @@
         stream = _Stream(
             prompt, output, prompt_tokens, sequence.cached_tokens, asyncio.Event()
         )
-        stream.is_prefill_only = part == "prefill"
+        stream.is_prefill_only = phase == "prefill"
         self._streams[attempt] = stream
-        self._wake.set()
+        self._work_added.set()
         return await self._send_stream(request, stream, 0)
 
-    def _turn_away(self, pause: str) -> web.Response:
+    def _reject(self, pause: str) -> web.Response:
         self.turned_away.append(asyncio.get_running_loop().time())
         detail = {"kind": "overloaded", "ran": "no"}
         headers = {"Retry-After": pause}
         return web.json_response(detail, status=self.refusal_status, headers=headers)
 
-    def _start_again(self) -> web.Response:
-        """Lose all that runs, and every connection, as a process that ends does."""
+    def _crash_and_restart(self) -> web.Response:
+        """Drop all sequences and connections, as a crashed process does."""
         self.ends += 1
         self.incarnation = Incarnation(self.incarnation + 1)
         self.model = EngineModel(self.options.parameters)
         self._streams.clear()
-        for transport in self._callers:
+        for transport in self._open_transports:
             transport.abort()
-        self._callers.clear()
+        self._open_transports.clear()
         return web.Response(status=500)
 
     async def _import(
@@ -248,28 +250,28 @@
         prompt_tokens: int,
         output: int,
     ) -> web.StreamResponse:
-        refusal = web.json_response({"kind": "overloaded", "ran": "no"}, status=503)
-        if not await self._can_fetch(request.headers["X-Import-From"]):
-            return refusal
+        rejection = web.json_response({"kind": "overloaded", "ran": "no"}, status=503)
+        if not await self._fetch_kv_cache(request.headers["X-Import-From"]):
+            return rejection
         duration = self.model.begin_import(
             attempt, prompt_tokens=prompt_tokens, output_tokens=output
         )
         if duration is None:
-            return refusal
+            return rejection
         stream = _Stream(prompt, output, prompt_tokens, 0, asyncio.Event(), 1)
         self._streams[attempt] = stream
         await asyncio.sleep(duration * self.options.time_scale)
         now = asyncio.get_running_loop().time() / self.options.time_scale
         if not self.model.finish_import(attempt, now):
-            return refusal
+            return rejection
         self.imported.append(attempt)
-        self._wake.set()
+        self._work_added.set()
         return await self._send_stream(request, stream, 1)
 
-    async def _can_fetch(self, url: str) -> bool:
+    async def _fetch_kv_cache(self, url: str) -> bool:
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-            async with aiohttp.ClientSession() as session, session.get(url) as answer:
-                return answer.status == 200
+            async with aiohttp.ClientSession() as session, session.get(url) as response:
+                return response.status == 200
         return False
 
     async def _export(self, request: web.Request) -> web.Response:
@@ -322,14 +324,14 @@
             stream.changed.set()
         return web.Response(status=204)
 
-    async def _hold(self, request: web.Request) -> web.Response:
+    async def _reserve_memory(self, request: web.Request) -> web.Response:
         attempt = AttemptId(request.match_info["attempt"])
         fields = msgspec.json.decode(await request.read(), type=dict[str, int])
         if not self.model.hold(attempt, fields["memory_tokens"]):
             return web.json_response({"ran": "no"}, status=503)
         return web.Response(status=204)
 
-    async def _take_order(self, request: web.Request) -> web.Response:
+    async def _accept_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=Order)
         if self.options.checks_fencing and order.fencing_number < self.fencing_number:
             return web.json_response({"kind": "old-fencing-number"}, status=409)
--- a/src/scalebend/standins/load.py
+++ b/src/scalebend/standins/load.py
@@ -1,4 +1,4 @@
-"""Seeded prompts of very unlike lengths, for the demo and the measurements."""
+"""Planned requests and prompt lengths, for the demo and the measurements."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Band(Enum):
-    """Prompt lengths, by their upper border in tokens."""
+    """Ranges of prompt lengths, by their upper bound in tokens."""
 
     SHORT = 4_000
     MEDIUM = 32_000
@@ -21,7 +21,7 @@
 
     @property
     def label(self) -> str:
-        """The band's upper border as text."""
+        """The upper bound as text."""
         value = self.value
         return f"up to {value // 1000:,}k"
 
@@ -32,7 +32,7 @@
 
 
 class PlannedRequest(msgspec.Struct, frozen=True):
-    """One request of a load; times in seconds from its start, sizes in tokens."""
+    """One request of a load; ``at`` in seconds from the start of the load."""
 
     number: int
     at: float
@@ -49,5 +49,5 @@
 
 
 def draw_tokens(chooser: random.Random, low: int, high: int) -> int:
-    """Draw a length between two, even in its logarithm."""
+    """Draw a length between ``low`` and ``high`` from a log-uniform distribution."""
     return int(math.exp(chooser.uniform(math.log(low), math.log(high))))
--- a/src/scalebend/standins/proxy.py
+++ b/src/scalebend/standins/proxy.py
@@ -1,7 +1,7 @@
-"""A loopback proxy whose connections can be delayed, held back or reset.
+"""A loopback TCP proxy whose connections can be delayed, blocked or reset.
 
-Bytes that are held back arrive once the rule is lifted, as after a cut that TCP
-outlasted; a connection that either end gives up meanwhile ends at the other, too.
+Blocked bytes are delivered once the rule is removed, as after a network partition
+shorter than the TCP timeout. A connection that one end closes is closed at the other.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 logger = structlog.get_logger(__name__)
 
-CHUNK = 64 * 1024
-"""Bytes read at a time."""
+READ_BYTES = 64 * 1024
+"""Maximum size of one read."""
 
-OPEN_TIMEOUT = 2.0
-"""Seconds until the connection to the target must stand."""
+CONNECT_TIMEOUT_S = 2.0
+"""Timeout of a connection attempt to the target."""
 
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Option that makes a close a reset: linger for no time."""
+"""``SO_LINGER`` value (enabled, zero seconds) that makes a close send a reset."""
 
 
 class Direction(Enum):
-    """Which bytes of a connection are held back, seen from who dialled."""
+    """Direction of the blocked bytes of a connection, as seen from its client."""
 
     BOTH = "both"
     REQUESTS = "requests"
@@ -39,23 +39,25 @@
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """What happens to the bytes of some connections."""
+    """An impairment of some or all connections."""
 
     dialler: str | None
-    """Whose connections, as :data:`Identify` names them; ``None`` for all."""
+    """Client whose connections match, by its :data:`Identify` name; ``None``: all."""
 
     holds: Direction | None = None
     delay: float = 0.0
-    """Seconds by which bytes come late, both ways."""
+    """Delay in seconds of the bytes in each direction."""
 
 
 Identify = Callable[[bytes], str | None]
-"""Tells from the first bytes of a connection who dialled; ``None``: not known yet."""
+"""Returns the client's name from the first bytes of a connection, if known yet."""
 
 
 class _Connection:
-    def __init__(self, near: asyncio.StreamWriter, far: asyncio.StreamWriter) -> None:
-        self.writers = (near, far)
+    def __init__(
+        self, client: asyncio.StreamWriter, target_writer: asyncio.StreamWriter
+    ) -> None:
+        self.writers = (client, target_writer)
         self.dialler: str | None = None
 
     def reset(self) -> None:
@@ -64,7 +66,7 @@
 
 
 class Proxy:
-    """Passes connections on from one address to another."""
+    """Forwards connections to a target address."""
 
     def __init__(self, target: str, identify: Identify | None = None) -> None:
         self.target = target
@@ -76,7 +78,7 @@
 
     @contextlib.contextmanager
     def apply(self, rule: Rule) -> Iterator[None]:
-        """Let ``rule`` be in force until the block ends."""
+        """Apply ``rule`` until the block ends."""
         self._rules.append(rule)
         try:
             yield
@@ -86,33 +88,33 @@
             self._changed = asyncio.Event()
 
     def reset_all(self) -> None:
-        """Reset every connection that is open."""
+        """Reset all open connections."""
         for connection in list(self._connections):
             connection.reset()
 
     def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection (called by asyncio)."""
-        task = asyncio.create_task(self._pass(reader, writer))
+        """Serve one connection in a task; the callback of the asyncio server."""
+        task = asyncio.create_task(self._forward(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """End every connection."""
+        """Close all connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         address = parse_address(self.target)
         try:
-            async with asyncio.timeout(OPEN_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 far_reader, far_writer = await asyncio.open_connection(
                     address.host, address.port
                 )
         except (OSError, TimeoutError):
-            # Nobody listens: the dialler is to see a reset, not a planned end.
+            # The client must see a reset, as if nothing listened, not a regular close.
             _reset(writer)
             return
         connection = _Connection(writer, far_writer)
@@ -126,8 +128,8 @@
             connection.reset()
         finally:
             self._connections.discard(connection)
-            for one in connection.writers:
-                one.close()
+            for open_writer in connection.writers:
+                open_writer.close()
 
     async def _pump(
         self,
@@ -136,17 +138,17 @@
         writer: asyncio.StreamWriter,
         direction: Direction,
     ) -> None:
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(READ_BYTES):
             if connection.dialler is None and self._identify is not None:
                 if direction is Direction.REQUESTS:
                     connection.dialler = self._identify(data)
-            await self._wait_until_passing(connection, direction)
+            await self._wait_until_unblocked(connection, direction)
             writer.write(data)
             await writer.drain()
-        await self._wait_until_passing(connection, direction)
+        await self._wait_until_unblocked(connection, direction)
         writer.write_eof()
 
-    async def _wait_until_passing(
+    async def _wait_until_unblocked(
         self, connection: _Connection, direction: Direction
     ) -> None:
         delay = max((rule.delay for rule in self._match(connection)), default=0.0)
@@ -178,7 +180,7 @@
 async def run_proxy(
     address: str, target: str, identify: Identify | None = None
 ) -> AsyncIterator[Proxy]:
-    """Pass connections to ``address`` on to ``target`` until the block ends."""
+    """Forward connections from ``address`` to ``target`` until the block ends."""
     proxy = Proxy(target, identify)
     parsed = parse_address(address)
     server = await asyncio.start_server(proxy.take, parsed.host, parsed.port)
--- a/src/scalebend/standins/service_server.py
+++ b/src/scalebend/standins/service_server.py
@@ -1,4 +1,4 @@
-"""A small plain service over HTTP, such as work orders or permit checks."""
+"""A stand-in service over HTTP, such as work orders or permit checks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ServiceOptions(msgspec.Struct, frozen=True):
-    """Identity of a stand-in service; ``delay`` in seconds before each answer."""
+    """Identity of a stand-in service; ``delay`` is in seconds before each response."""
 
     upstream: UpstreamId
     availability_zone: AvailabilityZone
@@ -30,7 +30,7 @@
 
 
 class ServiceServer:
-    """Counts every call by its ``X-Order`` header, to show double execution."""
+    """Counts calls by their ``X-Order`` header, to detect repeated execution."""
 
     def __init__(self, options: ServiceOptions, incarnation: int = 1) -> None:
         self.options = options
@@ -42,13 +42,13 @@
         self.drop_answers = 0
 
     def build_app(self) -> web.Application:
-        """Return the service's HTTP application."""
+        """Return the HTTP application of the service."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_route("*", "/{path:.*}", self._serve)
         return app
 
     def build_announcement(self) -> Announcement:
-        """Return what the service says of itself now."""
+        """Return an announcement of the current state of the service."""
         self._announcements += 1
         return Announcement(
             upstream=self.options.upstream,
