--- a/src/scalebend/commands/apply.py
+++ b/src/scalebend/commands/apply.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from scalebend.commands.check import print_faults
-from scalebend.commands.client import AnswerError, fetch, report
+from scalebend.commands.client import RequestError, fetch, report_error
 from scalebend.edges.admin import ApplyAnswer
 from scalebend.edges.settings_file import read_configuration
 from scalebend.exceptions import DocumentError
@@ -42,8 +42,8 @@
         applied = asyncio.run(
             _apply(configuration, url, key, base, ChangeId(change), operator)
         )
-    except AnswerError as error:
-        return report(error)
+    except RequestError as error:
+        return report_error(error)
     if as_json:
         print(json.dumps({"version": applied.version}))
     else:
--- a/src/scalebend/commands/ask.py
+++ b/src/scalebend/commands/ask.py
@@ -9,7 +9,7 @@
 import aiohttp
 import msgspec
 
-from scalebend.commands.client import UNREACHABLE, build_headers
+from scalebend.commands.client import EXIT_UNREACHABLE, build_headers
 
 
 class _Choice(msgspec.Struct):
@@ -40,7 +40,7 @@
         return asyncio.run(_ask(url, key, msgspec.json.encode(body), time_limit))
     except (aiohttp.ClientError, TimeoutError) as error:
         print(f"{url}: {error}", file=sys.stderr)
-        return UNREACHABLE
+        return EXIT_UNREACHABLE
 
 
 async def _ask(url: str, key: str, body: bytes, time_limit: float) -> int:
--- a/src/scalebend/commands/client.py
+++ b/src/scalebend/commands/client.py
@@ -10,11 +10,11 @@
 
 T = TypeVar("T")
 
-UNREACHABLE = 3
+EXIT_UNREACHABLE = 3
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
 
 
-class AnswerError(Exception):
+class RequestError(Exception):
     """The instance returned an error or could not be reached."""
 
     def __init__(self, text: str, exit_code: int) -> None:
@@ -44,13 +44,13 @@
             data = await response.read()
             status = response.status
     except (aiohttp.ClientError, TimeoutError) as error:
-        raise AnswerError(f"{url}: {error}", UNREACHABLE) from None
+        raise RequestError(f"{url}: {error}", EXIT_UNREACHABLE) from None
     if status >= 300:
-        raise AnswerError(data.decode(errors="replace"), 1)
+        raise RequestError(data.decode(errors="replace"), 1)
     return msgspec.json.decode(data or b"null", type=type_)
 
 
-def report(error: AnswerError) -> int:
+def report_error(error: RequestError) -> int:
     """Print an error to standard error and return the exit code."""
     print(error, file=sys.stderr)
     return error.exit_code
--- a/src/scalebend/commands/demo.py
+++ b/src/scalebend/commands/demo.py
@@ -387,7 +387,7 @@
 ) -> Report:
     run_twice = sum(count > 1 for count in fleet.service.calls.values())
     not_run = sum(order not in fleet.service.calls for order in orders)
-    overfilled = sum(engine.model.refused_full for engine in fleet.engines)
+    overfilled = sum(engine.model.memory_rejections for engine in fleet.engines)
     broken = []
     if any(sample.duration > TIME_LIMIT_S + 1.0 for sample in samples):
         broken.append("a request went past its time limit")
--- a/src/scalebend/commands/diff.py
+++ b/src/scalebend/commands/diff.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from scalebend.commands.check import print_faults
-from scalebend.commands.client import AnswerError, fetch, report
+from scalebend.commands.client import RequestError, fetch, report_error
 from scalebend.edges.settings_file import read_configuration
 from scalebend.exceptions import DocumentError
 from scalebend.models.configuration import AcceptedConfiguration, Configuration
@@ -26,8 +26,8 @@
     path = f"{url}/admin/configuration"
     try:
         current = asyncio.run(fetch("GET", path, key, AcceptedConfiguration))
-    except AnswerError as error:
-        return report(error)
+    except RequestError as error:
+        return report_error(error)
     lines = list(
         difflib.unified_diff(
             _list_lines(current.configuration),
--- a/src/scalebend/commands/measure_overhead.py
+++ b/src/scalebend/commands/measure_overhead.py
@@ -43,7 +43,7 @@
 )
 from scalebend.models.settings import Listen, LogFormat, Logging, Role, Settings
 from scalebend.models.upstream import Announcement, LoadedModel, UpstreamKindName
-from scalebend.standins.announcer import announce_for_ever
+from scalebend.standins.announcer import announce_periodically
 from scalebend.standins.ports import find_free_ports
 from scalebend.utils.keys import hash_key
 
@@ -300,7 +300,7 @@
             prefill_rate=1e9,
         )
 
-    await announce_for_ever(build, [url], "")
+    await announce_periodically(build, [url], "")
 
 
 async def _wait_and_configure(runtime: Runtime, url: str) -> None:
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -176,7 +176,7 @@
         return RunResult(
             list(self._outcomes.values()),
             sum(engine.model.used_tokens for engine in engines if engine.is_up),
-            sum(engine.model.refused_full for engine in engines),
+            sum(engine.model.memory_rejections for engine in engines),
             sum(count > 1 for count in self._orders_run.values()),
             self._used,
             len(self._outcomes),
@@ -499,7 +499,7 @@
         request = self._requests[start.request]
         memory = divide_up(request.memory_tokens, parts)
         lead = group[0]
-        held = all(e.model.hold(start.attempt, memory) for e in group[1:])
+        held = all(e.model.reserve_memory(start.attempt, memory) for e in group[1:])
         sequence = None
         if held:
             prefixes = build_prefixes(run.outcome.planned)
@@ -510,7 +510,7 @@
                 priority=start.priority,
                 now=self.now,
                 prefixes=prefixes,
-                speed=parts,
+                group_size=parts,
                 is_prefill_only=start.phase is Phase.PREFILL,
             )
         if sequence is None:
@@ -658,7 +658,7 @@
             prefill_rate=parameters.prefill_rate,
             step_time=parameters.step_time,
             running=list(engine.model.list_running()),
-            cache_events=engine.model.take_cache_events(),
+            cache_events=engine.model.pop_cache_events(),
         )
         self._announce(announcement, self.scenario.report_delay)
 
--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -105,7 +105,7 @@
         output_tokens=output,
         priority=0,
         now=0.0,
-        speed=speed,
+        group_size=speed,
     )
     first = 0.0
     now = 0.0
--- a/src/scalebend/standins/announcer.py
+++ b/src/scalebend/standins/announcer.py
@@ -15,7 +15,7 @@
 ANNOUNCE_TIMEOUT_S = 1.0
 
 
-async def announce_for_ever(
+async def announce_periodically(
     build: Callable[[], Announcement], urls: list[str], key: str
 ) -> None:
     """Send an announcement at a fixed interval, to the next URL that accepts it.
--- a/src/scalebend/standins/engine_model.py
+++ b/src/scalebend/standins/engine_model.py
@@ -53,7 +53,7 @@
     priority: int
     cached_tokens: int = 0
     prefill_left: int = 0
-    speed: int = 1
+    group_size: int = 1
     prefixes: tuple[tuple[int, int], ...] = ()
     first_token: float | None = None
     last_step: int = 0
@@ -95,7 +95,7 @@
     def __init__(self, parameters: EngineParameters) -> None:
         self.parameters = parameters
         self.used_tokens = 0
-        self.refused_full = 0
+        self.memory_rejections = 0
         self._sequences: dict[AttemptId, Sequence] = {}
         self._tombstones: OrderedDict[AttemptId, None] = OrderedDict()
         self._prefill_queue: list[tuple[int, int, AttemptId]] = []
@@ -133,25 +133,25 @@
         priority: int,
         now: float,
         prefixes: tuple[tuple[int, int], ...] = (),
-        speed: int = 1,
+        group_size: int = 1,
         is_prefill_only: bool = False,
     ) -> Sequence | None:
         """Start an attempt; return ``None`` if it was cancelled or does not fit.
 
-        ``speed`` is the number of engines in the prefill group. With
+        ``group_size`` is the number of engines in the prefill group. With
         ``is_prefill_only`` the KV cache is kept for export after the first token, until
         the attempt is cancelled.
         """
         generated = 1 if is_prefill_only else output_tokens
-        memory = divide_up(prompt_tokens + generated, speed)
-        if not self.hold(attempt, memory):
+        memory = divide_up(prompt_tokens + generated, group_size)
+        if not self.reserve_memory(attempt, memory):
             return None
         cached = min(self.count_cached(prefixes), prompt_tokens - 1)
         sequence = self._sequences[attempt]
         sequence.output_tokens = max(1, output_tokens)
         sequence.priority = priority
         sequence.cached_tokens = cached
-        sequence.prefill_left = max(1, divide_up(prompt_tokens - cached, speed))
+        sequence.prefill_left = max(1, divide_up(prompt_tokens - cached, group_size))
         sequence.prefixes = prefixes
         sequence.is_prefill_only = is_prefill_only
         self._truncate_span(now)
@@ -166,7 +166,7 @@
 
         Returns ``None`` if the attempt was cancelled or does not fit.
         """
-        if not self.hold(attempt, prompt_tokens + output_tokens):
+        if not self.reserve_memory(attempt, prompt_tokens + output_tokens):
             return None
         self._sequences[attempt].output_tokens = output_tokens
         return prompt_tokens / self.parameters.transfer_rate
@@ -181,12 +181,12 @@
         self._begin_decoding(sequence)
         return True
 
-    def hold(self, attempt: AttemptId, memory_tokens: int) -> bool:
+    def reserve_memory(self, attempt: AttemptId, memory_tokens: int) -> bool:
         """Reserve memory for an attempt of this engine or as a prefill helper."""
         if attempt in self._tombstones or attempt in self._sequences:
             return False
         if self.used_tokens + memory_tokens > self.parameters.memory_tokens:
-            self.refused_full += 1
+            self.memory_rejections += 1
             return False
         self._sequences[attempt] = Sequence(attempt, memory_tokens, 1, 0)
         self.used_tokens += memory_tokens
@@ -202,10 +202,10 @@
             self._truncate_span(now)
             self._remove(attempt)
 
-    def plan(self, now: float, most_steps: int | None = None) -> float | None:
+    def plan(self, now: float, max_steps: int | None = None) -> float | None:
         """Begin the next steps if none are in progress; return when they end."""
         if self._span is None:
-            self._span = self._build_span(now, most_steps)
+            self._span = self._build_span(now, max_steps)
         if self._span is None:
             return None
         return self._span.start + self._span.step * self._span.steps
@@ -218,7 +218,7 @@
         self._span = None
         return self._apply_steps(span, span.steps)
 
-    def take_cache_events(self) -> list[CacheEvent]:
+    def pop_cache_events(self) -> list[CacheEvent]:
         """Return the cache events since the last call."""
         events = self._cache_events
         self._cache_events = []
@@ -233,14 +233,14 @@
             return 1
         return sequence.output_tokens - (sequence.last_step - self._step_count)
 
-    def _build_span(self, now: float, most_steps: int | None) -> _Span | None:
+    def _build_span(self, now: float, max_steps: int | None) -> _Span | None:
         prefilling = self._find_prefilling()
         decoding = self._decoding_count
         if prefilling is None and not decoding:
             return None
         parameters = self.parameters
         chunk = 0
-        steps = most_steps or 1_000_000
+        steps = max_steps or 1_000_000
         if prefilling is not None:
             left = self._sequences[prefilling].prefill_left
             size = parameters.chunk_tokens if decoding else parameters.idle_chunk_tokens
--- a/src/scalebend/standins/engine_server.py
+++ b/src/scalebend/standins/engine_server.py
@@ -32,7 +32,7 @@
     UpstreamKindName,
     UpstreamState,
 )
-from scalebend.standins.announcer import announce_for_ever
+from scalebend.standins.announcer import announce_periodically
 from scalebend.standins.engine_model import (
     EngineModel,
     EngineParameters,
@@ -93,20 +93,20 @@
         self.started: list[str] = []
         self.imported: list[str] = []
         self.drop_after: int | None = None
-        self.garble = False
-        self.never_answers = False
-        self.cuts_every_stream = False
-        self.ignore_cancellations = 0
-        self.ends_on: bytes | None = None
+        self.sends_garbage = False
+        self.never_responds = False
+        self.drops_every_stream = False
+        self.cancellations_to_fail = 0
+        self.crashes_on: bytes | None = None
         """A prompt that contains this crashes the engine, which restarts at once."""
 
-        self.ends = 0
-        self.pause: str | None = None
+        self.crash_count = 0
+        self.retry_after: str | None = None
         """If set, every request is rejected with this ``Retry-After`` value."""
 
-        self.refusal_status = 503
+        self.rejection_status = 503
 
-        self.turned_away: list[float] = []
+        self.rejected_at: list[float] = []
         """Times of the rejections, on the clock of the event loop."""
 
         self._open_transports: set[asyncio.Transport] = set()
@@ -146,7 +146,7 @@
             step_time=parameters.step_time * scale,
             load=Load(running=len(self.model), memory_used=self.model.used_tokens),
             running=list(self.model.list_running()),
-            cache_events=self.model.take_cache_events(),
+            cache_events=self.model.pop_cache_events(),
             fencing_number=self.fencing_number,
         )
 
@@ -156,7 +156,7 @@
         scale = self.options.time_scale
         while True:
             now = loop.time() / scale
-            end = self.model.plan(now, most_steps=1)
+            end = self.model.plan(now, max_steps=1)
             if end is None:
                 self._work_added.clear()
                 await self._work_added.wait()
@@ -186,17 +186,17 @@
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         attempt = AttemptId(request.headers.get("X-Request-Id", ""))
         body = await request.read()
-        if self.never_answers:
+        if self.never_responds:
             await asyncio.Event().wait()
-        if self.garble:
+        if self.sends_garbage:
             return web.Response(body=b"\x00garbage", content_type="text/event-stream")
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
         prompt = bytes(fields.get("prompt") or fields.get("messages") or b"")
         if request.transport is not None:
             self._open_transports.add(request.transport)
-        if self.pause is not None:
-            return self._reject(self.pause)
-        if self.ends_on is not None and self.ends_on in prompt:
+        if self.retry_after is not None:
+            return self._reject(self.retry_after)
+        if self.crashes_on is not None and self.crashes_on in prompt:
             return self._crash_and_restart()
         output = msgspec.json.decode(fields.get("max_tokens", msgspec.Raw(b"16")))
         prompt_tokens = max(1, len(prompt) // BYTES_PER_TOKEN)
@@ -210,7 +210,7 @@
             priority=int(request.headers.get("X-Priority", "0")),
             now=asyncio.get_running_loop().time() / self.options.time_scale,
             prefixes=_list_prefixes(prompt),
-            speed=int(request.headers.get("X-Group-Size", "1")),
+            group_size=int(request.headers.get("X-Group-Size", "1")),
             is_prefill_only=phase == "prefill",
         )
         if sequence is None:
@@ -225,15 +225,15 @@
         self._work_added.set()
         return await self._send_stream(request, stream, 0)
 
-    def _reject(self, pause: str) -> web.Response:
-        self.turned_away.append(asyncio.get_running_loop().time())
+    def _reject(self, retry_after: str) -> web.Response:
+        self.rejected_at.append(asyncio.get_running_loop().time())
         detail = {"kind": "overloaded", "ran": "no"}
-        headers = {"Retry-After": pause}
-        return web.json_response(detail, status=self.refusal_status, headers=headers)
+        headers = {"Retry-After": retry_after}
+        return web.json_response(detail, status=self.rejection_status, headers=headers)
 
     def _crash_and_restart(self) -> web.Response:
         """Drop all sequences and connections, as a crashed process does."""
-        self.ends += 1
+        self.crash_count += 1
         self.incarnation = Incarnation(self.incarnation + 1)
         self.model = EngineModel(self.options.parameters)
         self._streams.clear()
@@ -302,7 +302,7 @@
                 await stream.changed.wait()
                 continue
             if self.drop_after is not None and offset >= self.drop_after:
-                if not self.cuts_every_stream:
+                if not self.drops_every_stream:
                     self.drop_after = None
                 assert request.transport is not None
                 request.transport.abort()
@@ -312,8 +312,8 @@
         return response
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        if self.ignore_cancellations:
-            self.ignore_cancellations -= 1
+        if self.cancellations_to_fail:
+            self.cancellations_to_fail -= 1
             return web.Response(status=500)
         attempt = AttemptId(request.match_info["attempt"])
         now = asyncio.get_running_loop().time() / self.options.time_scale
@@ -327,7 +327,7 @@
     async def _reserve_memory(self, request: web.Request) -> web.Response:
         attempt = AttemptId(request.match_info["attempt"])
         fields = msgspec.json.decode(await request.read(), type=dict[str, int])
-        if not self.model.hold(attempt, fields["memory_tokens"]):
+        if not self.model.reserve_memory(attempt, fields["memory_tokens"]):
             return web.json_response({"ran": "no"}, status=503)
         return web.Response(status=204)
 
@@ -382,7 +382,7 @@
     site = web.TCPSite(runner, "127.0.0.1", port, ssl_context=context)
     await site.start()
     engine.address = f"127.0.0.1:{runner.addresses[0][1]}"
-    announcing = announce_for_ever(
+    announcing = announce_periodically(
         engine.build_announcement, urls, options.announce_key
     )
     tasks = [asyncio.create_task(engine.run_steps()), asyncio.create_task(announcing)]
--- a/src/scalebend/standins/proxy.py
+++ b/src/scalebend/standins/proxy.py
@@ -35,16 +35,18 @@
 
     BOTH = "both"
     REQUESTS = "requests"
-    ANSWERS = "answers"
+    RESPONSES = "answers"
 
 
 class Rule(msgspec.Struct, frozen=True):
     """An impairment of some or all connections."""
 
-    dialler: str | None
+    client: str | None
     """Client whose connections match, by its :data:`Identify` name; ``None``: all."""
 
-    holds: Direction | None = None
+    blocked: Direction | None = None
+    """Direction whose bytes are blocked."""
+
     delay: float = 0.0
     """Delay in seconds of the bytes in each direction."""
 
@@ -55,10 +57,10 @@
 
 class _Connection:
     def __init__(
-        self, client: asyncio.StreamWriter, target_writer: asyncio.StreamWriter
+        self, client_writer: asyncio.StreamWriter, target_writer: asyncio.StreamWriter
     ) -> None:
-        self.writers = (client, target_writer)
-        self.dialler: str | None = None
+        self.writers = (client_writer, target_writer)
+        self.client: str | None = None
 
     def reset(self) -> None:
         for writer in self.writers:
@@ -92,7 +94,9 @@
         for connection in list(self._connections):
             connection.reset()
 
-    def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def serve_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Serve one connection in a task; the callback of the asyncio server."""
         task = asyncio.create_task(self._forward(reader, writer))
         self._tasks.add(task)
@@ -122,7 +126,7 @@
         try:
             await asyncio.gather(
                 self._pump(connection, reader, far_writer, Direction.REQUESTS),
-                self._pump(connection, far_reader, writer, Direction.ANSWERS),
+                self._pump(connection, far_reader, writer, Direction.RESPONSES),
             )
         except OSError:
             connection.reset()
@@ -139,9 +143,9 @@
         direction: Direction,
     ) -> None:
         while data := await reader.read(READ_BYTES):
-            if connection.dialler is None and self._identify is not None:
+            if connection.client is None and self._identify is not None:
                 if direction is Direction.REQUESTS:
-                    connection.dialler = self._identify(data)
+                    connection.client = self._identify(data)
             await self._wait_until_unblocked(connection, direction)
             writer.write(data)
             await writer.drain()
@@ -155,7 +159,7 @@
         if delay:
             await asyncio.sleep(delay)
         while any(
-            rule.holds in (direction, Direction.BOTH)
+            rule.blocked in (direction, Direction.BOTH)
             for rule in self._match(connection)
         ):
             await self._changed.wait()
@@ -164,7 +168,7 @@
         return [
             rule
             for rule in self._rules
-            if rule.dialler is None or rule.dialler == connection.dialler
+            if rule.client is None or rule.client == connection.client
         ]
 
 
@@ -183,7 +187,9 @@
     """Forward connections from ``address`` to ``target`` until the block ends."""
     proxy = Proxy(target, identify)
     parsed = parse_address(address)
-    server = await asyncio.start_server(proxy.take, parsed.host, parsed.port)
+    server = await asyncio.start_server(
+        proxy.serve_connection, parsed.host, parsed.port
+    )
     try:
         yield proxy
     finally:
--- a/src/scalebend/standins/service_server.py
+++ b/src/scalebend/standins/service_server.py
@@ -16,7 +16,7 @@
     UpstreamId,
 )
 from scalebend.models.upstream import Announcement, UpstreamKindName, UpstreamState
-from scalebend.standins.announcer import announce_for_ever
+from scalebend.standins.announcer import announce_periodically
 
 
 class ServiceOptions(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
         self._announcements = 0
         self.state = UpstreamState.SERVING
         self.calls: dict[str, int] = {}
-        self.drop_answers = 0
+        self.responses_to_drop = 0
 
     def build_app(self) -> web.Application:
         """Return the HTTP application of the service."""
@@ -67,8 +67,8 @@
         self.calls[order] = self.calls.get(order, 0) + 1
         await request.read()
         await asyncio.sleep(self.options.delay)
-        if self.drop_answers:
-            self.drop_answers -= 1
+        if self.responses_to_drop:
+            self.responses_to_drop -= 1
             assert request.transport is not None
             request.transport.abort()
         return web.json_response({"order": order, "run": self.calls[order]})
@@ -86,7 +86,7 @@
     await site.start()
     service.address = f"127.0.0.1:{runner.addresses[0][1]}"
     task = asyncio.create_task(
-        announce_for_ever(service.build_announcement, urls, options.announce_key)
+        announce_periodically(service.build_announcement, urls, options.announce_key)
     )
     try:
         yield service
--- a/tests/functional/test_crashing_engines.py
+++ b/tests/functional/test_crashing_engines.py
@@ -22,11 +22,11 @@
 async def test_request_that_ends_engines_reaches_few_of_them():
     async with run_fleet(6) as fleet:
         for engine in fleet.engines:
-            engine.ends_on = POISON.encode()
+            engine.crashes_on = POISON.encode()
         for _ in range(4):
             response, body = await send(fleet, POISON)
             await asyncio.sleep(0.3)
-        assert sum(engine.ends for engine in fleet.engines) <= MAX_CRASHES
+        assert sum(engine.crash_count for engine in fleet.engines) <= MAX_CRASHES
         problem = msgspec.json.decode(body)
         assert (response.status, problem["ran"]) == (503, "no")
         assert problem["type"] == "ends-upstreams"
--- a/tests/functional/test_engine_backoff.py
+++ b/tests/functional/test_engine_backoff.py
@@ -36,17 +36,17 @@
 
 
 def count_in_backoff(engine):
-    first = engine.turned_away[0]
+    first = engine.rejected_at[0]
     since, until = first + IN_FLIGHT_S, first + BACKOFF_S
-    return sum(since < at < until for at in engine.turned_away)
+    return sum(since < at < until for at in engine.rejected_at)
 
 
 async def test_backoff_of_an_engine_is_respected():
     async with run_fleet(3) as fleet:
         rejecting = fleet.engines[0]
-        rejecting.pause = f"{BACKOFF_S:g}"
+        rejecting.retry_after = f"{BACKOFF_S:g}"
         statuses = await run_load(fleet, BACKOFF_S)
-        assert rejecting.turned_away
+        assert rejecting.rejected_at
         assert count_in_backoff(rejecting) <= MAX_REQUESTS
         assert set(statuses) == {200}
 
@@ -54,7 +54,7 @@
 async def test_backoff_of_all_engines_is_respected_and_reported_to_callers():
     async with run_fleet(2) as fleet:
         for engine in fleet.engines:
-            engine.pause = f"{BACKOFF_S:g}"
+            engine.retry_after = f"{BACKOFF_S:g}"
         await run_load(fleet, BACKOFF_S - 0.5, callers=4)
         async with fleet.complete("one more") as answer:
             problem = msgspec.json.decode(await answer.read())
@@ -62,7 +62,7 @@
         assert 0 < int(answer.headers["Retry-After"]) <= BACKOFF_S
         for engine in fleet.engines:
             assert count_in_backoff(engine) <= MAX_REQUESTS
-            engine.pause = None
+            engine.retry_after = None
         await asyncio.sleep(1.0)
         async with fleet.complete("and another") as answer:
             await answer.read()
@@ -72,8 +72,8 @@
 @pytest.mark.parametrize("status", [429, 503])
 async def test_caller_gets_the_retry_after_of_a_rejecting_engine(status):
     async with run_fleet(1) as fleet:
-        fleet.engines[0].pause = "3"
-        fleet.engines[0].refusal_status = status
+        fleet.engines[0].retry_after = "3"
+        fleet.engines[0].rejection_status = status
         async with fleet.complete("a prompt") as answer:
             problem = msgspec.json.decode(await answer.read())
         assert problem["ran"] == "no"
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("retry_after", ["Wed, 21 Oct 2026 07:28:00 GMT", "-1", "soon"])
 async def test_unreadable_retry_after_still_means_not_run(retry_after):
     async with run_fleet(1) as fleet:
-        fleet.engines[0].pause = retry_after
+        fleet.engines[0].retry_after = retry_after
         async with fleet.complete("a prompt") as answer:
             problem = msgspec.json.decode(await answer.read())
         assert problem["ran"] == "no"
--- a/tests/functional/test_requests.py
+++ b/tests/functional/test_requests.py
@@ -69,7 +69,7 @@
             assert response.status == 200, await response.text()
             assert read_text(await response.read()) == build_expected_text(prompt, 4)
         await wait_for_free_memory(fleet)
-        assert sum(engine.model.refused_full for engine in fleet.engines) == 0
+        assert sum(engine.model.memory_rejections for engine in fleet.engines) == 0
 
 
 async def test_invalid_requests_are_rejected_as_not_run():
@@ -138,12 +138,12 @@
 
 async def test_cancellations_are_resent_until_confirmed():
     async with run_fleet(scale=1.0) as fleet:
-        fleet.engines[0].ignore_cancellations = 3
+        fleet.engines[0].cancellations_to_fail = 3
         response = await fleet.complete("long", max_tokens=5_000)
         await response.content.readany()
         response.close()
         await wait_for_free_memory(fleet)
-        assert fleet.engines[0].ignore_cancellations == 0
+        assert fleet.engines[0].cancellations_to_fail == 0
 
 
 async def test_interrupted_stream_is_resumed_without_gap_or_repeat():
@@ -157,7 +157,7 @@
 
 async def test_invalid_response_of_an_engine_is_retried_on_another():
     async with run_fleet(2) as fleet:
-        fleet.engines[0].garble = True
+        fleet.engines[0].sends_garbage = True
         for number in range(6):
             async with fleet.complete(f"question {number}") as response:
                 expected = build_expected_text(f"question {number}", 4)
@@ -166,7 +166,7 @@
 
 async def test_invalid_response_of_the_only_engine_is_reported():
     async with run_fleet() as fleet:
-        fleet.engines[0].garble = True
+        fleet.engines[0].sends_garbage = True
         async with fleet.complete("question") as response:
             await read_problem(response, 502, "upstream-garbled", ran="yes")
 
@@ -205,7 +205,7 @@
 
 async def test_order_whose_response_was_lost_is_not_sent_again():
     async with run_fleet() as fleet:
-        fleet.service.drop_answers = 1
+        fleet.service.responses_to_drop = 1
         async with fleet.order("key-1") as response:
             await read_problem(response, 502, "upstream-failed", ran="unknown")
         async with fleet.order("key-1") as response:
@@ -336,12 +336,12 @@
 
 async def test_unresponsive_engine_delays_a_request_up_to_its_time_limit():
     async with run_fleet() as fleet:
-        fleet.engines[0].never_answers = True
+        fleet.engines[0].never_responds = True
         started = fleet.runtime.now()
         async with fleet.complete("hello?", X_Time_Limit="0.6") as response:
             await read_problem(response, 504, "time-limit", ran="unknown")
         assert fleet.runtime.now() - started < 5.0
-        fleet.engines[0].never_answers = False
+        fleet.engines[0].never_responds = False
         owner = fleet.runtime.instance.owners.get("engine-0")
         await fleet.wait_until(lambda: owner.ledger.used == 0)
 
@@ -349,7 +349,7 @@
 async def test_truncated_stream_is_reported_as_an_error():
     async with run_fleet() as fleet:
         fleet.engines[0].drop_after = 3
-        fleet.engines[0].cuts_every_stream = True
+        fleet.engines[0].drops_every_stream = True
         async with fleet.complete("cut me", max_tokens=12) as response:
             events = await response.read()
         assert b"event: error" in events and b"[DONE]" not in events
--- a/tests/unit/test_owner.py
+++ b/tests/unit/test_owner.py
@@ -280,10 +280,10 @@
                 # The grant expired: the owner has cancelled the attempt or will.
                 continue
             held = self.owner.ledger._reserved.get(attempt, 0)
-            refused = self.engine.refused_full
-            if held and self.engine.hold(attempt, held):
+            refused = self.engine.memory_rejections
+            if held and self.engine.reserve_memory(attempt, held):
                 self.running[attempt] = held
-            assert self.engine.refused_full == refused, (
+            assert self.engine.memory_rejections == refused, (
                 "the attempt does not fit into the engine's memory"
             )
 
--- a/tests/unit/test_proxy.py
+++ b/tests/unit/test_proxy.py
@@ -1,4 +1,4 @@
-"""The loopback proxy: passes, holds back, delays and resets."""
+"""Forwarding, blocking, delay and reset of connections by the loopback proxy."""
 
 import asyncio
 import contextlib
@@ -8,12 +8,12 @@
 from scalebend.standins.ports import find_free_ports
 from scalebend.standins.proxy import Direction, Rule, run_proxy
 
-SHORT = 0.1
+DELAY_S = 0.1
 
 
 @contextlib.asynccontextmanager
 async def run_echo():
-    """A server that sends back what it gets, behind a proxy."""
+    """Run an echo server behind a proxy and connect to it."""
 
     async def echo(reader, writer):
         with contextlib.suppress(ConnectionError):
@@ -32,43 +32,43 @@
             server.close()
 
 
-async def ask(reader, writer, text=b"hello"):
-    writer.write(text)
-    return await reader.readexactly(len(text))
+async def exchange(reader, writer, data=b"hello"):
+    writer.write(data)
+    return await reader.readexactly(len(data))
 
 
-async def test_bytes_pass_both_ways():
+async def test_bytes_are_forwarded_in_both_directions():
     async with run_echo() as (_, reader, writer):
-        assert await ask(reader, writer) == b"hello"
+        assert await exchange(reader, writer) == b"hello"
 
 
 @pytest.mark.parametrize("direction", list(Direction))
-async def test_held_back_bytes_arrive_once_the_rule_is_lifted(direction):
+async def test_blocked_bytes_are_delivered_once_the_rule_is_removed(direction):
     async with run_echo() as (proxy, reader, writer):
-        asking = asyncio.create_task(ask(reader, writer))
-        with proxy.apply(Rule(None, holds=direction)):
-            await asyncio.sleep(SHORT)
-            assert not asking.done()
-        assert await asking == b"hello"
+        pending = asyncio.create_task(exchange(reader, writer))
+        with proxy.apply(Rule(None, blocked=direction)):
+            await asyncio.sleep(DELAY_S)
+            assert not pending.done()
+        assert await pending == b"hello"
 
 
-async def test_delayed_bytes_come_late():
+async def test_bytes_are_delayed_in_both_directions():
     async with run_echo() as (proxy, reader, writer):
-        began = asyncio.get_running_loop().time()
-        with proxy.apply(Rule(None, delay=SHORT)):
-            await ask(reader, writer)
-        assert asyncio.get_running_loop().time() - began >= 2.0 * SHORT
+        started = asyncio.get_running_loop().time()
+        with proxy.apply(Rule(None, delay=DELAY_S)):
+            await exchange(reader, writer)
+        assert asyncio.get_running_loop().time() - started >= 2.0 * DELAY_S
 
 
-async def test_rule_for_another_dialler_does_not_count():
+async def test_rule_for_another_client_is_ignored():
     async with run_echo() as (proxy, reader, writer):
-        with proxy.apply(Rule("another", holds=Direction.BOTH)):
-            assert await ask(reader, writer) == b"hello"
+        with proxy.apply(Rule("another", blocked=Direction.BOTH)):
+            assert await exchange(reader, writer) == b"hello"
 
 
-async def test_reset_is_seen_as_one():
+async def test_reset_reaches_the_client():
     async with run_echo() as (proxy, reader, writer):
-        await ask(reader, writer)
+        await exchange(reader, writer)
         proxy.reset_all()
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(1)
