--- a/src/scalebend/cli/main.py
+++ b/src/scalebend/cli/main.py
@@ -76,7 +76,7 @@
         ),
     ] = None,
 ) -> None:
-    """Run a front or a control instance on the users' platform until SIGTERM."""
+    """Run a front, a control instance or a relay until SIGTERM."""
     _run("gateway", settings=settings, log_level=log_level, link_listen=link_listen)
 
 
--- a/src/scalebend/standins/engine_server.py
+++ b/src/scalebend/standins/engine_server.py
@@ -93,10 +93,14 @@
         self.started: list[str] = []
         self.imported: list[str] = []
         self.drop_after: int | None = None
+        """Number of events after which a stream is interrupted."""
+
         self.sends_garbage = False
         self.never_responds = False
         self.drops_every_stream = False
         self.cancellations_to_fail = 0
+        """Number of cancellations that still fail, with status 500."""
+
         self.crashes_on: bytes | None = None
         """A prompt that contains this crashes the engine, which restarts at once."""
 
--- a/src/scalebend/standins/service_server.py
+++ b/src/scalebend/standins/service_server.py
@@ -40,6 +40,7 @@
         self.state = UpstreamState.SERVING
         self.calls: dict[str, int] = {}
         self.responses_to_drop = 0
+        """Number of executed calls whose response is still to be dropped."""
 
     def build_app(self) -> web.Application:
         """Return the HTTP application of the service."""
