--- a/src/scalebend/measuring/changes.py
+++ b/src/scalebend/measuring/changes.py
@@ -22,11 +22,11 @@
 from scalebend.storage.journal import Journal, open_journal
 from scalebend.utils.quantiles import read_quantile
 
-CHANGES = 60
-CHANGE_GAP = 0.7
-STEP = 0.01
-LONGEST_WAIT = 10.0
-LEADER_LOSSES = 12
+CHANGE_COUNT = 60
+CHANGE_INTERVAL_S = 0.7
+STEP_S = 0.01
+MAX_WAIT_S = 10.0
+LEADER_CRASH_COUNT = 12
 
 
 class SpreadFigures(msgspec.Struct, frozen=True):
@@ -60,12 +60,12 @@
     )
     harness = Harness(scenario, "split-fair", 1)
     harness.run_until(START_TIME + 4.0)
-    spread = [_apply_one(harness, number) for number in range(CHANGES)]
+    spread = [_measure_change(harness, number) for number in range(CHANGE_COUNT)]
     gaps = []
-    for seed in range(LEADER_LOSSES):
+    for seed in range(LEADER_CRASH_COUNT):
         lost = Harness(scenario, "split-fair", seed)
         lost.run_until(START_TIME + 2.0 + seed * 0.03)
-        gaps.append(_lose_leader(lost))
+        gaps.append(_measure_time_without_leader(lost))
     return SpreadFigures(
         instances,
         read_quantile(spread, 0.5),
@@ -75,7 +75,7 @@
     )
 
 
-def _apply_one(harness: Harness, number: int) -> float:
+def _measure_change(harness: Harness, number: int) -> float:
     instances = harness.list_instances()
     version = max(i.configuration.version for i in instances)
     change = ConfigurationChange(
@@ -85,9 +85,9 @@
     )
     harness.propose(instances[number % len(instances)], ApplyConfiguration(change))
     accepted: float | None = None
-    deadline = harness.now + LONGEST_WAIT
+    deadline = harness.now + MAX_WAIT_S
     while harness.now < deadline:
-        harness.run_until(harness.now + STEP)
+        harness.run_until(harness.now + STEP_S)
         versions = [i.configuration.version for i in instances]
         if accepted is None and max(versions) > version:
             accepted = harness.now
@@ -95,17 +95,17 @@
             break
     start = accepted if accepted is not None else deadline
     spread = harness.now - start
-    harness.run_until(harness.now + CHANGE_GAP)
+    harness.run_until(harness.now + CHANGE_INTERVAL_S)
     return spread
 
 
-def _lose_leader(harness: Harness) -> float:
+def _measure_time_without_leader(harness: Harness) -> float:
     leader = _find_leader(harness)
     assert leader is not None
     harness.lose_instance(leader)
     lost = harness.now
-    while _find_leader(harness) is None and harness.now < lost + LONGEST_WAIT:
-        harness.run_until(harness.now + STEP)
+    while _find_leader(harness) is None and harness.now < lost + MAX_WAIT_S:
+        harness.run_until(harness.now + STEP_S)
     return harness.now - lost
 
 
@@ -119,44 +119,44 @@
 def measure_recovery(folder: Path, changes: int) -> RecoveryFigures:
     """Write changes through a real journal, one synced write each; read it back."""
     with open_journal(folder) as (journal, recovered):
-        member = _start(recovered)
-        _settle(member, journal)
+        member = _build_member(recovered)
+        _run_until_elected(member, journal)
         started = time.perf_counter()
         for number in range(changes):
-            _commit(member, journal, number)
+            _commit_change(member, journal, number)
         written = time.perf_counter() - started
         written_bytes = journal.bytes_written
     started = time.perf_counter()
     with open_journal(folder) as (journal, recovered):
-        member = _start(recovered)
-        _settle(member, journal)
+        member = _build_member(recovered)
+        _run_until_elected(member, journal)
         recovery = time.perf_counter() - started
     assert member.state.configuration.version == changes
     size = sum(path.stat().st_size for path in folder.iterdir())
     return RecoveryFigures(changes, written, recovery, written_bytes / changes, size)
 
 
-def _start(recovered: Recovered) -> ControlMember:
+def _build_member(recovered: Recovered) -> ControlMember:
     return ControlMember(InstanceId("measured"), [], recovered, now=0.0)
 
 
-def _settle(member: ControlMember, journal: Journal) -> None:
+def _run_until_elected(member: ControlMember, journal: Journal) -> None:
     for step in range(1, 40):
         member.advance(step * 0.1)
-        _carry_out(member, journal, step * 0.1)
+        _execute_ready(member, journal, step * 0.1)
 
 
-def _commit(member: ControlMember, journal: Journal, number: int) -> None:
+def _commit_change(member: ControlMember, journal: Journal, number: int) -> None:
     change = ConfigurationChange(
         ConfigurationVersion(number),
         ChangeId(f"change-{number}"),
         Configuration(customers=[Customer(CustomerId(f"c{number}"), [])]),
     )
     member.replica.propose(encode_command(ApplyConfiguration(change)), 1.0, 10.0)
-    _carry_out(member, journal, 10.0)
+    _execute_ready(member, journal, 10.0)
 
 
-def _carry_out(member: ControlMember, journal: Journal, now: float) -> None:
+def _execute_ready(member: ControlMember, journal: Journal, now: float) -> None:
     while not (ready := member.take_ready(now)).is_empty:
         if ready.persist is not None:
             journal.write(ready.persist)
--- a/src/scalebend/measuring/control_cost.py
+++ b/src/scalebend/measuring/control_cost.py
@@ -28,11 +28,11 @@
 )
 from scalebend.standins.ports import find_free_ports
 
-WARM_UP = 20.0
-MEASURED = 4.0
-COUNT = 2_000
-PAGE = 4_096
-ACTIVE_PART = 0.05
+WARM_UP_S = 20.0
+MEASURED_S = 4.0
+MESSAGE_COUNT = 2_000
+PAGE_BYTES = 4_096
+ACTIVE_SHARE = 0.05
 """Part of the customers that are active at one instance."""
 
 _ENCODE = msgspec.msgpack.Encoder().encode
@@ -60,7 +60,7 @@
     message: float
 
 
-class _Meter(Harness):
+class _CountingHarness(Harness):
     """Counts what instances send."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
@@ -84,16 +84,16 @@
         self.message_bytes += len(_ENCODE(Envelope(name, message)))
         super().send_message(name, to, message)
 
-    def charge_customers(self) -> None:
+    def charge_active_customers(self) -> None:
         """Let a part of the customers use the fleet at each instance."""
         customers = [customer.customer for customer in self.scenario.customers]
-        count = max(1, int(len(customers) * ACTIVE_PART))
+        count = max(1, int(len(customers) * ACTIVE_SHARE))
         for number, instance in enumerate(self.list_instances()):
             for step in range(count):
                 customer = customers[(number * 7 + step) % len(customers)]
                 instance.owners.shares.charge(customer, 1.0, self.now)
 
-    def reset(self) -> None:
+    def reset_counts(self) -> None:
         """Count from here."""
         # The news of a whole system that starts at once are not the usual state.
         for instance in self.list_instances():
@@ -113,48 +113,48 @@
         zones=[f"z{n}" for n in range(6)],
     )
     gc.collect()
-    before = _read_resident()
-    meter = _Meter(scenario, 1)
-    meter.run_until(WARM_UP)
+    before = _read_resident_bytes()
+    harness = _CountingHarness(scenario, 1)
+    harness.run_until(WARM_UP_S)
     gc.collect()
-    memory = _read_resident() - before
-    meter.charge_customers()
-    meter.run_until(WARM_UP + 1.0)
-    meter.reset()
+    memory = _read_resident_bytes() - before
+    harness.charge_active_customers()
+    harness.run_until(WARM_UP_S + 1.0)
+    harness.reset_counts()
     started = time.process_time()
-    for _ in range(int(MEASURED)):
-        meter.charge_customers()
-        meter.run_until(meter.now + 1.0)
+    for _ in range(int(MEASURED_S)):
+        harness.charge_active_customers()
+        harness.run_until(harness.now + 1.0)
     spent = time.process_time() - started
-    scale = instances * MEASURED
-    seen = [len(i.membership.list_live()) for i in meter.list_instances()]
+    scale = instances * MEASURED_S
+    seen = [len(i.membership.list_live()) for i in harness.list_instances()]
     return ControlCost(
         instances,
         upstreams,
         customers,
-        meter.datagrams / scale,
-        meter.datagram_bytes / scale,
-        meter.messages / scale,
-        meter.message_bytes / scale,
+        harness.datagrams / scale,
+        harness.datagram_bytes / scale,
+        harness.messages / scale,
+        harness.message_bytes / scale,
         spent / scale,
         memory / instances / 2**20,
         sum(seen) / len(seen),
     )
 
 
-def _read_resident() -> int:
+def _read_resident_bytes() -> int:
     with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * PAGE
+        return int(file.read().split()[1]) * PAGE_BYTES
 
 
 async def measure_socket_cost() -> SocketCost:
     """Measure a datagram and a message over loopback, both sides in one process."""
-    datagram = await _measure_datagram()
-    message = await _measure_message()
+    datagram = await _measure_datagram_cost()
+    message = await _measure_message_cost()
     return SocketCost(datagram, message)
 
 
-async def _measure_datagram() -> float:
+async def _measure_datagram_cost() -> float:
     ports = find_free_ports(2)
     received: list[Datagram] = []
     one = InstanceId("one")
@@ -167,14 +167,14 @@
         open_gossip(addresses[1], received.append, None),
     ):
         started = time.process_time()
-        for _ in range(COUNT):
+        for _ in range(MESSAGE_COUNT):
             sender.send(addresses[1], datagram)
             await asyncio.sleep(0)
-        await _wait(lambda: len(received) >= COUNT * 0.99)
-        return (time.process_time() - started) / COUNT
+        await _wait_until(lambda: len(received) >= MESSAGE_COUNT * 0.99)
+        return (time.process_time() - started) / MESSAGE_COUNT
 
 
-async def _measure_message() -> float:
+async def _measure_message_cost() -> float:
     ports = find_free_ports(2)
     received: list[PeerMessage] = []
 
@@ -188,16 +188,16 @@
         serve_peers(two, addresses[1], None, receive),
     ):
         sender.send(two, addresses[1], FetchCatalog())
-        await _wait(lambda: len(received) == 1)
+        await _wait_until(lambda: len(received) == 1)
         started = time.process_time()
-        for number in range(COUNT):
+        for number in range(MESSAGE_COUNT):
             sender.send(two, addresses[1], FetchCatalog())
             # One frame for each message: the dearest case.
-            await _wait(lambda number=number: len(received) >= number + 2)  # type: ignore[misc]
-        return (time.process_time() - started) / COUNT
+            await _wait_until(lambda number=number: len(received) >= number + 2)  # type: ignore[misc]
+        return (time.process_time() - started) / MESSAGE_COUNT
 
 
-async def _wait(condition: Callable[[], bool]) -> None:
+async def _wait_until(condition: Callable[[], bool]) -> None:
     for _ in range(100_000):
         if condition():
             return
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -92,12 +92,12 @@
     model: EngineModel
     incarnation: int = 1
     is_up: bool = True
-    is_leaving: bool = False
+    is_draining: bool = False
     plan: int = 0
     sequence: int = 0
 
 
-class _Run(msgspec.Struct):
+class _RunningAttempt(msgspec.Struct):
     """One attempt on its way through an upstream."""
 
     attempt: AttemptId
@@ -115,25 +115,25 @@
         self.scenario = scenario
         self.now = 0.0
         self._policy = policy
-        self._chooser = random.Random(f"{scenario.name}/{policy}/{seed}")
+        self._random = random.Random(f"{scenario.name}/{policy}/{seed}")
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
         self._instances: dict[InstanceId, Instance] = {}
         self._by_gossip: dict[str, InstanceId] = {}
         self._zones: dict[InstanceId, AvailabilityZone] = {}
         self._engines: dict[UpstreamId, _Engine] = {}
         self._services: dict[UpstreamId, AvailabilityZone] = {}
-        self._runs: dict[AttemptId, _Run] = {}
+        self._attempts: dict[AttemptId, _RunningAttempt] = {}
         self._outcomes: dict[RequestId, Outcome] = {}
         self._requests: dict[RequestId, Request] = {}
         self._homes: dict[RequestId, InstanceId] = {}
         self._proposals: dict[str, tuple[InstanceId, RequestId]] = {}
         self._orders_run: dict[str, int] = {}
-        self._used: list[tuple[float, str, float]] = []
+        self._work_done: list[tuple[float, str, float]] = []
         self._cancel_loss = 0.0
         self._message_loss = 0.0
         self._late_to_leaving = 0
-        self._left_at: dict[UpstreamId, float] = {}
+        self._draining_since: dict[UpstreamId, float] = {}
         self._build_fleet(seed)
 
     def list_instances(self) -> list[Instance]:
@@ -144,14 +144,14 @@
         """Propose a command at an instance."""
         _, actions = instance.propose(command, 5.0, self.now, self.now)
         self._execute(instance.me, actions)
-        self._pump(instance.me)
+        self._run_control(instance.me)
 
     # Virtual time
 
     def call_at(self, at: float, work: Callable[[], None]) -> None:
         """Run ``work`` at a virtual time."""
-        self._count += 1
-        heapq.heappush(self._events, (max(at, self.now), self._count, work))
+        self._event_count += 1
+        heapq.heappush(self._events, (max(at, self.now), self._event_count, work))
 
     def run_until(self, end: float) -> None:
         """Run events up to ``end``."""
@@ -166,10 +166,10 @@
         for request in planned:
             self.call_at(START_TIME + request.at, self._bind(self._send, request))
         for fault in self.scenario.faults:
-            self.call_at(START_TIME + fault.at, self._bind(self._fail, fault))
-        self._plan_orders()
+            self.call_at(START_TIME + fault.at, self._bind(self._inject_fault, fault))
+        self._schedule_orders()
         last = START_TIME + self.scenario.duration
-        while self.now < last or self._has_open():
+        while self.now < last or self._has_open_requests():
             self.run_until(self.now + 1.0)
         self.run_until(self.now + TAIL_TIME)
         engines = self._engines.values()
@@ -178,12 +178,12 @@
             sum(engine.model.used_tokens for engine in engines if engine.is_up),
             sum(engine.model.refused_full for engine in engines),
             sum(count > 1 for count in self._orders_run.values()),
-            self._used,
+            self._work_done,
             len(self._outcomes),
             self._late_to_leaving,
         )
 
-    def _has_open(self) -> bool:
+    def _has_open_requests(self) -> bool:
         return any(outcome.ended is None for outcome in self._outcomes.values())
 
     @staticmethod
@@ -275,10 +275,10 @@
         if instance is None:
             return
         self._execute(name, instance.advance(self.now, self.now))
-        self._pump(name)
+        self._run_control(name)
         self.call_at(self.now + TICK, self._bind(self._tick, name))
 
-    def _pump(self, name: InstanceId) -> None:
+    def _run_control(self, name: InstanceId) -> None:
         instance = self._instances.get(name)
         if instance is None or instance.control is None:
             return
@@ -288,7 +288,7 @@
                 return
             self._execute(name, instance.finish_control(ready, self.now, self.now))
 
-    def _delay(self, one: AvailabilityZone, other: AvailabilityZone) -> float:
+    def _get_delay(self, one: AvailabilityZone, other: AvailabilityZone) -> float:
         return 0.0002 if one == other else self.scenario.zone_delay
 
     def _deliver(
@@ -299,7 +299,7 @@
             return
         actions = instance.handle_peer(sender, message, self.now, self.now)
         self._execute(to, actions)
-        self._pump(to)
+        self._run_control(to)
 
     def _deliver_datagram(self, to: InstanceId, datagram: Datagram) -> None:
         instance = self._instances.get(to)
@@ -317,24 +317,24 @@
             case Outbound(address, datagram):
                 self.send_datagram(name, address, datagram)
             case StartAttempt():
-                self._start(name, action)
+                self._start_attempt(name, action)
             case ResumeAttempt(attempt):
-                self._resume(attempt)
+                self._resume_attempt(attempt)
             case AbortAttempt(attempt):
-                self._runs.pop(attempt, None)
+                self._attempts.pop(attempt, None)
             case ClaimKey(request):
-                self._claim(name, request)
+                self._propose_claim(name, request)
             case CancelOnEngine(upstream, attempt):
-                self._cancel(name, upstream, attempt)
+                self._cancel_attempt(name, upstream, attempt)
             case Conclude(request, error):
                 self._conclude(name, request, error)
             case ProposalOutcome(proposal, result):
-                self._take_claim(proposal, result)
+                self._apply_claim_result(proposal, result)
 
     def send_datagram(self, name: InstanceId, address: str, datagram: Datagram) -> None:
         """Deliver a datagram after the zones' delay."""
         to = self._by_gossip[address]
-        delay = self._delay(self._zones[name], self._zones[to])
+        delay = self._get_delay(self._zones[name], self._zones[to])
         work = self._bind(self._deliver_datagram, to, datagram)
         self.call_at(self.now + delay, work)
 
@@ -342,18 +342,18 @@
         self, name: InstanceId, to: InstanceId, message: PeerMessage
     ) -> None:
         """Deliver a message after the zones' delay, unless messages are lost."""
-        if self._message_loss and self._chooser.random() < self._message_loss:
+        if self._message_loss and self._random.random() < self._message_loss:
             return
         if to not in self._zones:
             return
-        delay = self._delay(self._zones[name], self._zones[to])
+        delay = self._get_delay(self._zones[name], self._zones[to])
         self.call_at(self.now + delay, self._bind(self._deliver, name, to, message))
 
     # Requests
 
     def _send(self, planned: PlannedRequest) -> None:
         names = sorted(self._instances)
-        name = self._chooser.choice(names)
+        name = self._random.choice(names)
         request = Request(
             request=RequestId(f"r{planned.number}"),
             customer=planned.customer,
@@ -367,7 +367,7 @@
         outcome = Outcome(planned, deadline=request.deadline - START_TIME)
         self._admit(name, request, outcome)
 
-    def _plan_orders(self) -> None:
+    def _schedule_orders(self) -> None:
         if not self.scenario.order_rate:
             return
         at = 0.0
@@ -378,7 +378,7 @@
             self.call_at(START_TIME + at, work)
 
     def _send_order(self, number: int, at: float) -> None:
-        name = self._chooser.choice(sorted(self._instances))
+        name = self._random.choice(sorted(self._instances))
         customer = self.scenario.customers[0].customer
         # Every third order is sent a second time, under the same key.
         key = f"order-{number - 1 if number % 3 == 0 else number}"
@@ -421,11 +421,11 @@
         instance = self._instances.get(name)
         if instance is not None:
             instance.finish(request, self._requests[request].customer)
-            self._settle(name, request, error)
+            self._settle_claim(name, request, error)
 
     # Claims
 
-    def _claim(self, name: InstanceId, request: RequestId) -> None:
+    def _propose_claim(self, name: InstanceId, request: RequestId) -> None:
         known = self._requests[request]
         assert known.idempotency_key is not None
         command = Claim(
@@ -436,9 +436,9 @@
         )
         self._proposals[proposal] = (name, request)
         self._execute(name, actions)
-        self._pump(name)
+        self._run_control(name)
 
-    def _take_claim(self, proposal: str, result: object) -> None:
+    def _apply_claim_result(self, proposal: str, result: object) -> None:
         waiting = self._proposals.pop(proposal, None)
         if waiting is None:
             return
@@ -449,7 +449,7 @@
         actions = self._instances[name].handle_claim(request, error, self.now)
         self._execute(name, actions)
 
-    def _settle(
+    def _settle_claim(
         self, name: InstanceId, request: RequestId, error: ScalebendError | None
     ) -> None:
         known = self._requests[request]
@@ -462,13 +462,13 @@
 
     # Upstreams
 
-    def _start(self, name: InstanceId, start: StartAttempt) -> None:
+    def _start_attempt(self, name: InstanceId, start: StartAttempt) -> None:
         lead = start.upstreams[0]
         zone = self._services.get(lead)
         if zone is None:
             zone = self._engines[lead].zone
-        delay = self._delay(self._zones[name], zone)
-        run = _Run(
+        delay = self._get_delay(self._zones[name], zone)
+        run = _RunningAttempt(
             start.attempt,
             start.request,
             name,
@@ -476,7 +476,7 @@
             self._outcomes[start.request],
             start.phase is Phase.PREFILL,
         )
-        self._runs[start.attempt] = run
+        self._attempts[start.attempt] = run
         work: Callable[..., None] = self._run_engine
         if lead in self._services:
             work = self._run_service
@@ -484,16 +484,16 @@
             work = self._begin_import
         self.call_at(self.now + delay, self._bind(work, run, start))
 
-    def _run_service(self, run: _Run, start: StartAttempt) -> None:
+    def _run_service(self, run: _RunningAttempt, start: StartAttempt) -> None:
         run.outcome.starts += 1
         key = run.outcome.order
         self._orders_run[key] = self._orders_run.get(key, 0) + 1
-        self._report(run, Completed(), SERVICE_TIME)
+        self._report_result(run, Completed(), SERVICE_TIME)
 
-    def _run_engine(self, run: _Run, start: StartAttempt) -> None:
+    def _run_engine(self, run: _RunningAttempt, start: StartAttempt) -> None:
         group = [self._engines[upstream] for upstream in start.upstreams]
         if not all(engine.is_up for engine in group):
-            self._report(run, NeverStarted("cannot connect"), 0.001)
+            self._report_result(run, NeverStarted("cannot connect"), 0.001)
             return
         parts = len(group)
         request = self._requests[start.request]
@@ -515,35 +515,35 @@
             )
         if sequence is None:
             refused = NeverStarted("refused", may_hold_memory=parts > 1)
-            self._report(run, refused, 0.001)
+            self._report_result(run, refused, 0.001)
             return
         run.outcome.starts += 1
-        left_at = self._left_at.get(lead.name)
+        left_at = self._draining_since.get(lead.name)
         if left_at is not None and self.now > left_at + 2.0:
             self._late_to_leaving += 1
         self._plan_steps(lead)
 
-    def _begin_import(self, run: _Run, start: StartAttempt) -> None:
+    def _begin_import(self, run: _RunningAttempt, start: StartAttempt) -> None:
         engine = self._engines[start.upstreams[0]]
         assert start.source is not None
         source = self._engines[start.source]
         request = self._requests[start.request]
-        is_there = source.is_up and start.attempt in source.model.list_running()
+        is_prefilled = source.is_up and start.attempt in source.model.list_running()
         duration = None
-        if is_there and engine.is_up:
+        if is_prefilled and engine.is_up:
             duration = engine.model.begin_import(
                 start.attempt,
                 prompt_tokens=request.prompt_tokens,
                 output_tokens=request.output_tokens,
             )
         if duration is None:
-            self._report(run, NeverStarted("cannot import"), 0.001)
+            self._report_result(run, NeverStarted("cannot import"), 0.001)
             return
 
         def finish() -> None:
             if engine.is_up and engine.model.finish_import(start.attempt, self.now):
                 self._plan_steps(engine)
-                self._tell_started(run)
+                self._report_started(run)
 
         self.call_at(self.now + duration, finish)
 
@@ -551,25 +551,25 @@
         end = engine.model.plan(self.now)
         engine.plan += 1
         if end is not None:
-            self.call_at(end, self._bind(self._end_steps, engine, engine.plan))
+            self.call_at(end, self._bind(self._complete_steps, engine, engine.plan))
 
-    def _end_steps(self, engine: _Engine, plan: int) -> None:
+    def _complete_steps(self, engine: _Engine, plan: int) -> None:
         if plan != engine.plan or not engine.is_up:
             return
         for event in engine.model.complete(self.now):
-            run = self._runs.get(event.attempt)
+            run = self._attempts.get(event.attempt)
             match event:
                 case FirstToken():
                     if run is not None and run.outcome.first_token is None:
                         run.outcome.first_token = self.now - START_TIME
-                    self._tell_started(run)
+                    self._report_started(run)
                     if run is not None and run.is_prefill_only:
-                        self._report(run, Prefilled(), 0.001)
+                        self._report_result(run, Prefilled(), 0.001)
                 case Finished(_, _, output):
                     self._charge(event.attempt)
                     if run is not None:
                         run.outcome.output_tokens = output
-                        self._report(run, Completed(output), 0.001)
+                        self._report_result(run, Completed(output), 0.001)
         self._plan_steps(engine)
 
     def _charge(self, attempt: AttemptId) -> None:
@@ -577,46 +577,48 @@
         planned = self._outcomes[request].planned
         parameters = self.scenario.parameters
         cost = compute_cost(planned.prompt_tokens, planned.output_tokens, parameters)
-        self._used.append((self.now - START_TIME, planned.customer, cost))
+        self._work_done.append((self.now - START_TIME, planned.customer, cost))
 
-    def _tell_started(self, run: _Run | None) -> None:
+    def _report_started(self, run: _RunningAttempt | None) -> None:
         if run is None:
             return
 
         def tell() -> None:
             instance = self._instances.get(run.instance)
-            if instance is not None and run.attempt in self._runs:
+            if instance is not None and run.attempt in self._attempts:
                 actions = instance.handle_started(run.attempt, self.now)
                 self._execute(run.instance, actions)
 
         self.call_at(self.now + 0.001, tell)
 
-    def _report(self, run: _Run, result: AttemptResult, delay: float) -> None:
+    def _report_result(
+        self, run: _RunningAttempt, result: AttemptResult, delay: float
+    ) -> None:
         def report() -> None:
             instance = self._instances.get(run.instance)
-            if instance is None or run.attempt not in self._runs:
+            if instance is None or run.attempt not in self._attempts:
                 return
             if not isinstance(result, Interrupted | Prefilled):
-                del self._runs[run.attempt]
+                del self._attempts[run.attempt]
             actions = instance.handle_result(run.attempt, result, self.now)
             self._execute(run.instance, actions)
 
         self.call_at(self.now + delay, report)
 
-    def _resume(self, attempt: AttemptId) -> None:
-        run = self._runs.get(attempt)
+    def _resume_attempt(self, attempt: AttemptId) -> None:
+        run = self._attempts.get(attempt)
         if run is None:
             return
         engine = self._engines[run.engine]
         if engine.is_up and attempt in engine.model.list_running():
             return
-        self._report(run, Interrupted("nothing to resume"), 0.002)
+        self._report_result(run, Interrupted("nothing to resume"), 0.002)
 
-    def _cancel(
+    def _cancel_attempt(
         self, name: InstanceId, upstream: UpstreamId, attempt: AttemptId
     ) -> None:
         engine = self._engines[upstream]
-        if self._cancel_loss and self._chooser.random() < self._cancel_loss:
+        if self._cancel_loss and self._random.random() < self._cancel_loss:
             return
 
         def cancel() -> None:
@@ -651,7 +653,9 @@
             incarnation=Incarnation(engine.incarnation),
             availability_zone=engine.zone,
             sequence=engine.sequence,
-            state=UpstreamState.LEAVING if engine.is_leaving else UpstreamState.SERVING,
+            state=UpstreamState.LEAVING
+            if engine.is_draining
+            else UpstreamState.SERVING,
             models=[LoadedModel(MODEL)],
             memory_tokens=parameters.memory_tokens,
             concurrency=parameters.concurrency,
@@ -677,7 +681,7 @@
         self._announce(announcement, 0.001)
 
     def _announce(self, announcement: Announcement, delay: float) -> None:
-        name = self._chooser.choice(sorted(self._instances))
+        name = self._random.choice(sorted(self._instances))
 
         def arrive() -> None:
             instance = self._instances.get(name)
@@ -689,36 +693,36 @@
 
     # Faults
 
-    def _fail(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.ENGINES_LOST:
                 up = [e for e in self._engines.values() if e.is_up]
-                for engine in self._chooser.sample(up, min(fault.count, len(up))):
-                    self._lose_engine(engine, fault.back_after)
+                for engine in self._random.sample(up, min(fault.count, len(up))):
+                    self._crash_engine(engine, fault.back_after)
             case FaultKind.INSTANCE_LOST:
                 names = sorted(self._instances)[self.scenario.control :]
-                for name in self._chooser.sample(names, fault.count):
+                for name in self._random.sample(names, fault.count):
                     self.lose_instance(name)
             case FaultKind.CANCELLATIONS_LOST:
                 self._cancel_loss = fault.rate
             case FaultKind.MESSAGES_LOST:
                 self._message_loss = fault.rate
                 if fault.back_after is not None:
-                    self.call_at(self.now + fault.back_after, self._heal_messages)
+                    self.call_at(self.now + fault.back_after, self._stop_message_loss)
             case FaultKind.LINKS_LOST:
-                self._lose_links(fault.rate)
+                self._break_connections(fault.rate)
             case FaultKind.ENGINE_LEAVES:
                 for engine in list(self._engines.values())[: fault.count]:
-                    engine.is_leaving = True
-                    self._left_at[engine.name] = self.now
+                    engine.is_draining = True
+                    self._draining_since[engine.name] = self.now
 
-    def _heal_messages(self) -> None:
+    def _stop_message_loss(self) -> None:
         self._message_loss = 0.0
 
-    def _lose_engine(self, engine: _Engine, back_after: float | None) -> None:
+    def _crash_engine(self, engine: _Engine, back_after: float | None) -> None:
         engine.is_up = False
-        for run in [r for r in self._runs.values() if r.engine == engine.name]:
-            self._report(run, Interrupted("engine lost"), 0.002)
+        for run in [r for r in self._attempts.values() if r.engine == engine.name]:
+            self._report_result(run, Interrupted("engine lost"), 0.002)
         if back_after is not None:
             work = self._bind(self._restart_engine, engine)
             self.call_at(self.now + back_after, work)
@@ -738,13 +742,13 @@
                 outcome.ended = self.now - START_TIME
                 outcome.error = "instance-lost"
                 outcome.ran = "unknown"
-        for attempt in [a for a, r in self._runs.items() if r.instance == name]:
-            del self._runs[attempt]
+        for attempt in [a for a, r in self._attempts.items() if r.instance == name]:
+            del self._attempts[attempt]
 
-    def _lose_links(self, rate: float) -> None:
-        for run in list(self._runs.values()):
-            if run.engine in self._engines and self._chooser.random() < rate:
-                self._report(run, Interrupted("link lost"), 0.0)
+    def _break_connections(self, rate: float) -> None:
+        for run in list(self._attempts.values()):
+            if run.engine in self._engines and self._random.random() < rate:
+                self._report_result(run, Interrupted("link lost"), 0.0)
 
 
 def _build_gossip_address(name: InstanceId) -> str:
--- a/src/scalebend/measuring/leader_queue.py
+++ b/src/scalebend/measuring/leader_queue.py
@@ -20,7 +20,7 @@
     def __init__(self, choice_time: float, fronts: int) -> None:
         """``choice_time`` is in seconds."""
         self._choice_time = choice_time
-        self._paused_until = [0.0] * fronts
+        self._backoff_until = [0.0] * fronts
         self.free_at = 0.0
         """When all that was asked so far is answered."""
 
@@ -29,11 +29,11 @@
 
         A front that waits in vain decides alone, and asks nothing for a while.
         """
-        if now < self._paused_until[front]:
+        if now < self._backoff_until[front]:
             return Answer(now, is_led=False)
         self.free_at = max(self.free_at, now + way / 2.0) + self._choice_time
         answered_at = self.free_at + way / 2.0
         if answered_at <= now + PLACEMENT_TIMEOUT_S:
             return Answer(answered_at, is_led=True)
-        self._paused_until[front] = now + PLACEMENT_TIMEOUT_S + LEADER_BACKOFF_S
+        self._backoff_until[front] = now + PLACEMENT_TIMEOUT_S + LEADER_BACKOFF_S
         return Answer(now + PLACEMENT_TIMEOUT_S, is_led=False)
--- a/src/scalebend/measuring/losses.py
+++ b/src/scalebend/measuring/losses.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-LONG_TURN = 0.5
+LONG_WAIT_SHARE = 0.5
 """Part of the target that a wait for the turn must take to be the reason."""
 
-SLOWER = 1.5
+SLOW_FACTOR = 1.5
 """Times the predicted first token from which the replica is the reason."""
 
 
@@ -108,11 +108,11 @@
         except msgspec.DecodeError:
             # A line that was cut by a crash tells nothing.
             continue
-        _take(requests, event)
+        _apply_event(requests, event)
     return list(requests.values())
 
 
-def _take(requests: dict[str, LoggedRequest], event: dict[str, Any]) -> None:
+def _apply_event(requests: dict[str, LoggedRequest], event: dict[str, Any]) -> None:
     name = event.get("request")
     if not name:
         return
@@ -144,21 +144,21 @@
     if seen.has_left or seen.status is None:
         return Reason.CALLER_LEFT
     if seen.status >= 400 or seen.status == 0:
-        return _find_failure(seen)
+        return _find_failure_reason(seen)
     first = seen.first_event if seen.first_event is not None else seen.elapsed
     if seen.target is not None and first > seen.target:
-        return _find_delay(seen, first)
+        return _find_delay_reason(seen, first)
     if seen.event_gap is not None and seen.longest_gap > seen.event_gap:
         return Reason.REPLICA_LOST if seen.outcomes else Reason.PAUSE
     return None
 
 
-def _find_failure(seen: LoggedRequest) -> Reason:
+def _find_failure_reason(seen: LoggedRequest) -> Reason:
     match seen.kind:
         case "not-ready":
             return Reason.NOT_READY
         case "overloaded" | "no-upstream":
-            return _find_refusal(seen)
+            return _find_rejection_reason(seen)
         case "time-limit":
             return Reason.TIMED_OUT
     if seen.outcomes or seen.status == 0:
@@ -166,7 +166,7 @@
     return Reason.UNKNOWN
 
 
-def _find_refusal(seen: LoggedRequest) -> Reason:
+def _find_rejection_reason(seen: LoggedRequest) -> Reason:
     if seen.met_pause:
         return Reason.ALL_CLOSED
     if "rejected" in seen.outcomes and not seen.was_declined:
@@ -174,50 +174,50 @@
     return Reason.REFUSED
 
 
-def _find_delay(seen: LoggedRequest, first: float) -> Reason:
+def _find_delay_reason(seen: LoggedRequest, first: float) -> Reason:
     if seen.outcomes:
         return Reason.REPLICA_LOST
     if seen.predicted is None or seen.target is None:
         return Reason.REPLICA_SLOW
     if not seen.had_leader:
         return Reason.NO_LEADER
-    if first > SLOWER * seen.predicted:
+    if first > SLOW_FACTOR * seen.predicted:
         return Reason.REPLICA_SLOW
-    if seen.start_in > LONG_TURN * seen.target:
+    if seen.start_in > LONG_WAIT_SHARE * seen.target:
         return Reason.WAITED
     return Reason.LATE
 
 
-def _has_reached_limit(seen: LoggedRequest) -> bool:
+def _has_reached_time_limit(seen: LoggedRequest) -> bool:
     return seen.kind == "time-limit" and not seen.has_left
 
 
-def _is_cut_short(seen: LoggedRequest, routes_with_ends: set[str | None]) -> bool:
-    if not _has_reached_limit(seen):
+def _is_cut_short(seen: LoggedRequest, ended_routes: set[str | None]) -> bool:
+    if not _has_reached_time_limit(seen):
         return False
     is_below_target = seen.target is not None and seen.elapsed < seen.target
-    return is_below_target or seen.route not in routes_with_ends
+    return is_below_target or seen.route not in ended_routes
 
 
 def build_ledger(requests: list[LoggedRequest], window: float) -> Ledger:
     """Count losses by route and reason, and by windows of ``window`` seconds."""
     # Who calls a route that is not there is owed nothing.
     allowed = [one for one in requests if one.status not in (401, 404)]
-    with_ends = {one.route for one in allowed if not _has_reached_limit(one)}
-    owed = [one for one in allowed if not _is_cut_short(one, with_ends)]
-    cut_short = len(allowed) - len(owed)
-    if not owed:
+    ended_routes = {one.route for one in allowed if not _has_reached_time_limit(one)}
+    counted = [one for one in allowed if not _is_cut_short(one, ended_routes)]
+    cut_short = len(allowed) - len(counted)
+    if not counted:
         return Ledger(0, 0, [], [], cut_short)
-    begin = min(one.at for one in owed)
+    begin = min(one.at for one in counted)
     rows: Counter[tuple[str, Reason]] = Counter()
     windows: dict[int, Counter[Reason | None]] = {}
-    for one in owed:
+    for one in counted:
         reason = find_reason(one)
         windows.setdefault(int((one.at - begin) // window), Counter())[reason] += 1
         if reason is not None:
             rows[one.route or "-", reason] += 1
     return Ledger(
-        requests=len(owed),
+        requests=len(counted),
         lost=rows.total(),
         rows=[
             LedgerRow(route, reason.value, count)
--- a/src/scalebend/measuring/outcomes.py
+++ b/src/scalebend/measuring/outcomes.py
@@ -8,8 +8,8 @@
 from scalebend.standins.load import PlannedRequest
 
 BYTES_PER_TOKEN = 4
-BYTES_IN_MEGATOKEN = 8_000_000
-PRIVATE_PREFIXES = 1_000_000
+PREFIX_HASH_STRIDE = 8_000_000
+FIRST_PRIVATE_PREFIX = 1_000_000
 
 
 class Outcome(msgspec.Struct):
@@ -46,6 +46,6 @@
     for boundary in list_boundaries(planned.prompt_tokens * BYTES_PER_TOKEN):
         tokens = boundary // BYTES_PER_TOKEN
         is_shared = tokens <= planned.prefix_tokens
-        owner = planned.prefix if is_shared else PRIVATE_PREFIXES + planned.number
-        prefixes.append((owner * BYTES_IN_MEGATOKEN + boundary, tokens))
+        owner = planned.prefix if is_shared else FIRST_PRIVATE_PREFIX + planned.number
+        prefixes.append((owner * PREFIX_HASH_STRIDE + boundary, tokens))
     return tuple(prefixes)
--- a/src/scalebend/measuring/placement_cells.py
+++ b/src/scalebend/measuring/placement_cells.py
@@ -61,10 +61,10 @@
 
 
 def choose_cell(
-    cells: list[Cell], is_lost: Callable[[Cell], bool], chance: random.Random
+    cells: list[Cell], is_lost: Callable[[Cell], bool], rng: random.Random
 ) -> Cell | None:
     """The less loaded of two drawn; ``None`` where all leaders are lost."""
     led = [cell for cell in cells if not is_lost(cell)]
     if len(led) <= 1:
         return led[0] if led else None
-    return min(chance.sample(led, 2), key=lambda cell: cell.told_load)
+    return min(rng.sample(led, 2), key=lambda cell: cell.told_load)
--- a/src/scalebend/measuring/placement_results.py
+++ b/src/scalebend/measuring/placement_results.py
@@ -8,12 +8,12 @@
 
 from scalebend.measuring.placement_scenario import Arrival
 
-FREE_HOLD = 1 / 8
-DEAREST_HOLD = 3 / 4
+FREE_WAIT_SHARE = 1 / 8
+FULL_COST_WAIT_SHARE = 3 / 4
 """Parts of the target and of the deadline between which holding what is then not
 served costs more and more, up to the whole worth."""
 
-SECOND_REFUSAL = 0.3
+SECOND_REJECTION_COST_SHARE = 0.3
 """Part of the worth that a returned request costs that is refused again."""
 
 
@@ -59,9 +59,11 @@
             return kind.worth * self.arrival.size_factor
         if self.is_whole:
             return kind.late_worth * self.arrival.size_factor
-        free = FREE_HOLD * kind.target
-        dearest = DEAREST_HOLD * kind.deadline
-        price = min(1.0, max(0.0, self.held - free) / (dearest - free))
+        free_until = FREE_WAIT_SHARE * kind.target
+        full_cost_from = FULL_COST_WAIT_SHARE * kind.deadline
+        price = min(
+            1.0, max(0.0, self.held - free_until) / (full_cost_from - free_until)
+        )
         if self.refusals > 1:
-            price += SECOND_REFUSAL
+            price += SECOND_REJECTION_COST_SHARE
         return -price * kind.worth * self.arrival.size_factor
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -50,22 +50,22 @@
     is_job_of,
 )
 
-ASK_TIME = 0.003
+LEADER_ROUND_TRIP_S = 0.003
 """Seconds from a front's question to the leader's answer."""
 
-TELL_TIME = 0.002
+REPORT_DELAY_S = 0.002
 """Seconds until the leader knows what a front saw."""
 
-SEND_TIME = 0.002
+HOP_TIME_S = 0.002
 """Seconds from a caller to its front, from there to an engine, and back."""
 
-NEWS_PERIOD = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 """Seconds between two heartbeats of the leader to the fronts."""
 
-EXPIRE_PERIOD = 0.5
+EXPIRE_INTERVAL_S = 0.5
 """Seconds between two searches for jobs whose end was not heard."""
 
-LOSS_NOTICED = 0.2
+CRASH_DETECTION_S = 0.2
 """Seconds until a front sends a request again whose engine crashed."""
 
 
@@ -77,10 +77,10 @@
     cell: Cell | None
     """Whose leader placed it, or ``None``: its front did."""
 
-    began: float
-    unread: set[int]
+    placed_at: float
+    prefilling: set[int]
     is_writing: bool = False
-    is_over: bool = False
+    has_ended: bool = False
 
 
 class PlacementRun:
@@ -91,7 +91,7 @@
     ) -> None:
         self._scenario = scenario
         self._decider = decider
-        self._chance = random.Random(seed + 1)
+        self._rng = random.Random(seed + 1)
         self._profile = scenario.engines.build_profile()
         self._engines = [
             PassEngine(scenario.engines) for _ in range(scenario.engines.count)
@@ -109,7 +109,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._event_count = 0
         self._now = 0.0
-        self._readiness = [self._chance.random() for _ in range(scenario.fronts)]
+        self._readiness = [self._rng.random() for _ in range(scenario.fronts)]
         self.choices = 0
         self.choices_alone = 0
         """Choices that fronts made without the leader."""
@@ -118,34 +118,39 @@
         for arrival in plan_arrivals(scenario, seed):
             result = Result(arrival)
             self.results.append(result)
-            self._at(arrival.at + SEND_TIME, lambda r=result: self._arrive(r))  # type: ignore[misc]
+            self._call_at(arrival.at + HOP_TIME_S, lambda r=result: self._arrive(r))  # type: ignore[misc]
         for loss in scenario.engine_losses:
-            self._at(loss.at, lambda one=loss: self._lose(one.count, one.back_after))  # type: ignore[misc]
+            self._call_at(
+                loss.at,
+                lambda one=loss: self._crash_engines(one.count, one.back_after),  # type: ignore[misc]
+            )
         for lost in scenario.leader_losses:
-            self._at(
+            self._call_at(
                 lost.at + lost.length,
-                lambda one=lost: self._take_lead(self._cells[: one.cells]),  # type: ignore[misc]
+                lambda one=lost: self._replace_leaders(self._cells[: one.cells]),  # type: ignore[misc]
             )
         for cut in scenario.fronts_cut:
-            self._at(cut.at, lambda one=cut: self._forget_fronts(one.count))  # type: ignore[misc]
-            self._at(cut.at + cut.length, lambda: self._take_lead(self._cells))
+            self._call_at(cut.at, lambda one=cut: self._forget_front_jobs(one.count))  # type: ignore[misc]
+            self._call_at(
+                cut.at + cut.length, lambda: self._replace_leaders(self._cells)
+            )
         for restart in scenario.restarts:
-            self._at(restart.at, self._restart)
-        self._at(NEWS_PERIOD, self._tell_fronts)
-        self._at(EXPIRE_PERIOD, self._expire)
+            self._call_at(restart.at, self._restart)
+        self._call_at(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
+        self._call_at(EXPIRE_INTERVAL_S, self._expire)
 
     def run(self) -> list[Result]:
         """Play everything; return what became of each request."""
         if self._decider is Decider.IDLE_FLEET:
             for result in self.results:
-                serve_alone(result, self._profile, len(self._engines), SEND_TIME)
+                serve_alone(result, self._profile, len(self._engines), HOP_TIME_S)
             return self.results
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
             action()
         return self.results
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
+    def _call_at(self, when: float, action: Callable[[], None]) -> None:
         self._event_count += 1
         heapq.heappush(self._events, (when, self._event_count, action))
 
@@ -155,7 +160,7 @@
         for front in self._fronts:
             front.expire(self._now)
         if self._now < self._scenario.length + 30.0:
-            self._at(self._now + EXPIRE_PERIOD, self._expire)
+            self._call_at(self._now + EXPIRE_INTERVAL_S, self._expire)
 
     # Requests
 
@@ -169,25 +174,29 @@
             if self._now < back - restart.waiting:
                 return
             if self._now < ready_at:
-                self._at(ready_at, lambda: self._arrive(result))
+                self._call_at(ready_at, lambda: self._arrive(result))
                 return
         if arrival.leaves_after is not None:
             leave_at = arrival.at + arrival.leaves_after
-            self._at(max(leave_at, self._now), lambda: self._leave(result))
-        self._ask(result)
+            self._call_at(
+                max(leave_at, self._now), lambda: self._disconnect_caller(result)
+            )
+        self._request_placement(result)
 
-    def _ask(self, result: Result) -> None:
+    def _request_placement(self, result: Result) -> None:
         """Ask the leader, or decide alone where it does not answer in time."""
         front = result.arrival.front
         cell = choose_cell(
-            self._cells, lambda one: self._is_lost(one, front), self._chance
+            self._cells, lambda one: self._has_no_leader(one, front), self._rng
         )
         if cell is None:
-            self._at(self._now + ASK_TIME, lambda: self._place(result, None))
+            self._call_at(
+                self._now + LEADER_ROUND_TRIP_S, lambda: self._place(result, None)
+            )
             return
-        answer = cell.queue.ask(front, ASK_TIME, self._now)
-        asked = cell if answer.is_led else None
-        self._at(answer.at, lambda: self._place(result, asked))
+        answer = cell.queue.ask(front, LEADER_ROUND_TRIP_S, self._now)
+        leading_cell = cell if answer.is_led else None
+        self._call_at(answer.at, lambda: self._place(result, leading_cell))
 
     def _place(self, result: Result, cell: Cell | None) -> None:
         arrival = result.arrival
@@ -207,49 +216,49 @@
             event_gap=arrival.kind.event_gap,
             remaining=remaining,
         )
-        if cell is not None and self._is_lost(cell, arrival.front):
+        if cell is not None and self._has_no_leader(cell, arrival.front):
             cell = None
         placed = self._decide(work, arrival.front, cell)
         if isinstance(placed, Declined):
-            self._refuse(result, placed.retry_after, remaining)
+            self._reject(result, placed.retry_after, remaining)
             return
         engines = [self._numbers[upstream] for upstream in placed.upstreams]
         job = _Job(result, work, placed, engines, cell, self._now, set(engines))
         self._jobs[number] = job
-        self._note_open(job)
-        self._at(self._now + remaining, lambda: self._give_up(number))
-        self._await_turn(number)
+        self._report_open_job(job)
+        self._call_at(self._now + remaining, lambda: self._end_at_deadline(number))
+        self._await_start(number)
 
-    def _await_turn(self, number: int) -> None:
+    def _await_start(self, number: int) -> None:
         """Send when the turn comes; ask now and then whether it comes sooner."""
         start_in = self._jobs[number].placement.start_in
         if start_in > REPLAN_PERIOD_S:
-            self._at(self._now + REPLAN_PERIOD_S, lambda: self._ask_again(number))
+            self._call_at(self._now + REPLAN_PERIOD_S, lambda: self._replan(number))
         else:
-            self._at(self._now + start_in + SEND_TIME, lambda: self._send(number))
+            self._call_at(self._now + start_in + HOP_TIME_S, lambda: self._send(number))
 
-    def _ask_again(self, number: int) -> None:
+    def _replan(self, number: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
         job.work = age_work(job.work, REPLAN_PERIOD_S)
         cell = job.cell
-        if cell is None or self._is_lost(cell, job.result.arrival.front):
+        if cell is None or self._has_no_leader(cell, job.result.arrival.front):
             job.placement = age_placement(job.placement, REPLAN_PERIOD_S)
-            self._await_turn(number)
+            self._await_start(number)
             return
         placed = self._decide(job.work, job.result.arrival.front, cell)
         if isinstance(placed, Declined):
-            job.is_over = True
-            job.result.held += self._now - job.began
-            self._tell(job, is_ended=True)
-            self._refuse(job.result, placed.retry_after, job.work.remaining)
+            job.has_ended = True
+            job.result.held += self._now - job.placed_at
+            self._report_stage(job, is_ended=True)
+            self._reject(job.result, placed.retry_after, job.work.remaining)
             return
         job.placement = placed
         job.engines = [self._numbers[upstream] for upstream in placed.upstreams]
-        job.unread = set(job.engines)
-        self._note_open(job)
-        self._await_turn(number)
+        job.prefilling = set(job.engines)
+        self._report_open_job(job)
+        self._await_start(number)
 
     def _decide(
         self, work: EngineWork, front: int, cell: Cell | None
@@ -258,7 +267,7 @@
         alive = [e for e in endpoints if self._numbers[e.upstream] not in self._down]
         match self._decider:
             case Decider.RANDOM:
-                return place_simply(work, self._chance.choice(alive), alive)
+                return place_simply(work, self._rng.choice(alive), alive)
             case Decider.FEWEST_OPEN:
                 return place_simply(work, min(alive, key=self._count_open), alive)
         scheduler = self._fronts[front] if cell is None else cell.scheduler
@@ -266,36 +275,39 @@
         self.choices_alone += cell is None
         return scheduler.place(work, alive, self._profile, self._now)
 
-    def _note_open(self, job: _Job) -> None:
+    def _report_open_job(self, job: _Job) -> None:
         """Whoever did not place the job hears of it: its front, or the leader."""
         opened = OpenJob(job.work, job.placement, is_writing=False)
         front = self._fronts[job.result.arrival.front]
         front.forget(job.work.job)
         front.adopt(opened, self._profile, self._now)
-        for cell in self._find_told(job):
+        for cell in self._find_reachable_cells(job):
             # It hears of it after all that it was asked before.
-            heard_at = max(self._now, cell.queue.free_at)
-            self._at(heard_at, lambda c=cell: self._tell_open(c, job, opened))  # type: ignore[misc]
+            reported_at = max(self._now, cell.queue.free_at)
+            self._call_at(
+                reported_at,
+                lambda c=cell: self._adopt_open_job(c, job, opened),  # type: ignore[misc]
+            )
 
-    def _tell_open(self, cell: Cell, job: _Job, opened: OpenJob) -> None:
-        if not job.is_over and job.placement == opened.placement:
+    def _adopt_open_job(self, cell: Cell, job: _Job, opened: OpenJob) -> None:
+        if not job.has_ended and job.placement == opened.placement:
             cell.scheduler.adopt(opened, self._profile, self._now)
 
-    def _find_told(self, job: _Job) -> list[Cell]:
+    def _find_reachable_cells(self, job: _Job) -> list[Cell]:
         """Cells whose leader hears of a job: those of its engines."""
         numbers = {engine % len(self._cells) for engine in job.engines}
         front = job.result.arrival.front
         return [
             cell
             for cell in self._cells
-            if cell.number in numbers and not self._is_lost(cell, front)
+            if cell.number in numbers and not self._has_no_leader(cell, front)
         ]
 
     def _count_open(self, endpoint: Endpoint) -> tuple[int, float]:
         number = self._numbers[endpoint.upstream]
-        return self._engines[number].open_jobs, self._chance.random()
+        return self._engines[number].open_jobs, self._rng.random()
 
-    def _is_lost(self, cell: Cell, front: int) -> bool:
+    def _has_no_leader(self, cell: Cell, front: int) -> bool:
         """Whether a front has no leader of this cell to ask now."""
         scenario = self._scenario
         return (
@@ -314,24 +326,24 @@
     def _is_within(self, at: float, length: float) -> bool:
         return at <= self._now < at + length
 
-    def _take_lead(self, cells: list[Cell]) -> None:
+    def _replace_leaders(self, cells: list[Cell]) -> None:
         """New leaders learn what is open from the fronts that reach them."""
         for cell in cells:
             cell.scheduler = EngineScheduler()
         for job in self._jobs.values():
-            if job.is_over:
+            if job.has_ended:
                 continue
             opened = OpenJob(
-                job.work, job.placement, job.is_writing, self._now - job.began
+                job.work, job.placement, job.is_writing, self._now - job.placed_at
             )
-            for cell in self._find_told(job):
+            for cell in self._find_reachable_cells(job):
                 cell.scheduler.adopt(opened, self._profile, self._now)
 
     def _restart(self) -> None:
         """All processes lose what they knew, and their callers what was open."""
         for number, job in self._jobs.items():
-            if not job.is_over:
-                self._end(number)
+            if not job.has_ended:
+                self._end_job(number)
         for cell in self._cells:
             cell.scheduler = EngineScheduler()
         self._fronts = [
@@ -339,42 +351,44 @@
             for n in range(self._scenario.fronts)
         ]
 
-    def _forget_fronts(self, count: int) -> None:
+    def _forget_front_jobs(self, count: int) -> None:
         """Leaders lost the links to some fronts, and with them their jobs."""
         for number in range(count):
             front = InstanceId(f"front-{number}")
             for cell in self._cells:
                 cell.scheduler.forget_front(partial(is_job_of, front))
 
-    def _tell_fronts(self) -> None:
+    def _send_heartbeats(self) -> None:
         """Heartbeats of leaders say which replicas are busy, and with what."""
         for cell in self._cells:
             cell.tell_load()
         for number, front in enumerate(self._fronts):
-            heard = [one for one in self._cells if not self._is_lost(one, number)]
+            reachable = [
+                one for one in self._cells if not self._has_no_leader(one, number)
+            ]
             busy = [
                 replica
-                for cell in heard
+                for cell in reachable
                 for replica in cell.scheduler.list_busy(self._now, len(self._engines))
             ]
-            if heard:
+            if reachable:
                 front.record_busy_replicas(busy, self._now)
         if self._now < self._scenario.length:
-            self._at(self._now + NEWS_PERIOD, self._tell_fronts)
+            self._call_at(self._now + HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
-    def _refuse(self, result: Result, retry_after: float, remaining: float) -> None:
+    def _reject(self, result: Result, retry_after: float, remaining: float) -> None:
         result.refusals += 1
         if result.refusals > self._scenario.retries:
             return
-        pause = min(retry_after, remaining / 3.0) + 2 * SEND_TIME
-        self._at(self._now + pause, lambda: self._arrive(result))
+        delay = min(retry_after, remaining / 3.0) + 2 * HOP_TIME_S
+        self._call_at(self._now + delay, lambda: self._arrive(result))
 
     def _send(self, number: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
         if set(job.engines) & self._down:
-            self._break(number)
+            self._place_again(number)
             return
         arrival = job.result.arrival
         width = len(job.engines)
@@ -383,115 +397,119 @@
             tokens = arrival.prompt // width
             reading = Reading(number, seconds, tokens, is_joint=width > 1)
             self._engines[engine].add(reading, is_first=engine == job.engines[0])
-            self._wake(engine)
+            self._start_batch_step(engine)
 
-    def _give_up(self, number: int) -> None:
+    def _end_at_deadline(self, number: int) -> None:
         job = self._jobs[number]
-        if not job.is_over:
-            job.result.held += self._now - job.began
-            self._end(number)
+        if not job.has_ended:
+            job.result.held += self._now - job.placed_at
+            self._end_job(number)
 
-    def _leave(self, result: Result) -> None:
+    def _disconnect_caller(self, result: Result) -> None:
         if result.first_event is not None:
             return
         result.has_left = True
         for number, job in list(self._jobs.items()):
-            if job.result is result and not job.is_over:
-                self._end(number)
+            if job.result is result and not job.has_ended:
+                self._end_job(number)
 
-    def _end(self, number: int) -> None:
+    def _end_job(self, number: int) -> None:
         job = self._jobs[number]
-        job.is_over = True
+        job.has_ended = True
         for engine in job.engines:
             self._engines[engine].drop(number)
-        self._tell(job, is_ended=True)
+        self._report_stage(job, is_ended=True)
 
-    def _tell(self, job: _Job, *, is_ended: bool) -> None:
+    def _report_stage(self, job: _Job, *, is_ended: bool) -> None:
         load = self._engines[job.engines[0]].open_jobs
         stage = JobStage(job.work.job, is_ended=is_ended, load=load)
         self._fronts[job.result.arrival.front].record_stage(stage, self._now)
-        for cell in self._find_told(job):
-            self._at(
-                self._now + TELL_TIME,
+        for cell in self._find_reachable_cells(job):
+            self._call_at(
+                self._now + REPORT_DELAY_S,
                 lambda c=cell: c.scheduler.record_stage(stage, self._now),  # type: ignore[misc]
             )
 
     # Engines
 
-    def _wake(self, number: int) -> None:
+    def _start_batch_step(self, number: int) -> None:
         engine = self._engines[number]
         if not engine.is_idle:
             return
         seconds = engine.begin_pass()
         if seconds is not None:
             started = engine.incarnation
-            self._at(self._now + seconds, lambda: self._end_pass(number, started))
+            self._call_at(
+                self._now + seconds, lambda: self._end_batch_step(number, started)
+            )
 
-    def _end_pass(self, number: int, incarnation: int) -> None:
+    def _end_batch_step(self, number: int, incarnation: int) -> None:
         engine = self._engines[number]
         if engine.incarnation != incarnation:
             return
         ended = engine.end_pass()
         for job in ended.read:
-            self._note_read(job, number)
+            self._record_prefill(job, number)
         for job in ended.written:
-            self._note_event(job)
+            self._record_event(job)
             if not engine.is_writing(job):
-                self._finish(job)
-        self._wake(number)
+                self._complete(job)
+        self._start_batch_step(number)
 
-    def _note_read(self, number: int, engine: int) -> None:
+    def _record_prefill(self, number: int, engine: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
-        job.unread.discard(engine)
-        if not job.unread:
+        job.prefilling.discard(engine)
+        if not job.prefilling:
             arrival = job.result.arrival
             events_left = arrival.events
             if engine == job.engines[0]:
                 # The pass that ends the reading brings the first token, too.
                 events_left -= 1
-                self._note_event(number)
+                self._record_event(number)
             first = self._engines[job.engines[0]]
             first.write(Writing(number, arrival.prompt, events_left))
-            self._wake(job.engines[0])
+            self._start_batch_step(job.engines[0])
 
-    def _note_event(self, number: int) -> None:
+    def _record_event(self, number: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
         result = job.result
-        seen = self._now + SEND_TIME - result.arrival.at
+        seen = self._now + HOP_TIME_S - result.arrival.at
         if not job.is_writing:
             job.is_writing = True
-            self._tell(job, is_ended=False)
+            self._report_stage(job, is_ended=False)
         if result.first_event is None:
             result.first_event = seen
         else:
             result.longest_gap = max(result.longest_gap, seen - result.last_event)
         result.last_event = seen
 
-    def _finish(self, number: int) -> None:
+    def _complete(self, number: int) -> None:
         job = self._jobs[number]
-        job.is_over = True
+        job.has_ended = True
         job.result.is_whole = True
-        self._tell(job, is_ended=True)
+        self._report_stage(job, is_ended=True)
 
-    def _lose(self, count: int, back_after: float) -> None:
+    def _crash_engines(self, count: int, back_after: float) -> None:
         alive = [n for n in range(len(self._engines)) if n not in self._down]
-        for number in self._chance.sample(alive, min(count, len(alive))):
+        for number in self._rng.sample(alive, min(count, len(alive))):
             self._down.add(number)
             lost = self._engines[number].crash()
             for job in lost:
-                self._break(job)
+                self._place_again(job)
             back = self._now + back_after
-            self._at(back, lambda n=number: self._down.discard(n))  # type: ignore[misc]
+            self._call_at(back, lambda n=number: self._down.discard(n))  # type: ignore[misc]
 
-    def _break(self, number: int) -> None:
+    def _place_again(self, number: int) -> None:
         """A request lost an engine: its front places it anew, once it noticed."""
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
-        self._end(number)
+        self._end_job(number)
         result = job.result
-        self._at(self._now + LOSS_NOTICED, lambda: self._ask(result))
+        self._call_at(
+            self._now + CRASH_DETECTION_S, lambda: self._request_placement(result)
+        )
--- a/src/scalebend/measuring/placement_scenario.py
+++ b/src/scalebend/measuring/placement_scenario.py
@@ -51,10 +51,10 @@
 
     most: float
 
-    def draw(self, chance: random.Random) -> float:
+    def draw(self, rng: random.Random) -> float:
         """One size."""
         centre = math.log(self.mean) - self.spread**2 / 2.0
-        return min(self.most, chance.lognormvariate(centre, self.spread))
+        return min(self.most, rng.lognormvariate(centre, self.spread))
 
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -162,13 +162,13 @@
 
 def plan_arrivals(scenario: PlacementScenario, seed: int) -> list[Arrival]:
     """Draw all arrivals; the same for every decider."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     drawn: list[tuple[float, Kind]] = []
     for kind in scenario.kinds:
         at = 0.0
         while True:
             rate = kind.per_second * _find_factor(scenario, kind, at)
-            at += chance.expovariate(rate)
+            at += rng.expovariate(rate)
             if at >= scenario.length:
                 break
             drawn.append((at, kind))
@@ -178,21 +178,21 @@
             number=number,
             at=at,
             kind=kind,
-            prompt=max(50, round(kind.prompt.draw(chance))),
-            events=max(2, round(kind.events.draw(chance))),
-            front=chance.randrange(scenario.fronts),
-            leaves_after=_draw_leaving(scenario, kind, chance),
+            prompt=max(50, round(kind.prompt.draw(rng))),
+            events=max(2, round(kind.events.draw(rng))),
+            front=rng.randrange(scenario.fronts),
+            leaves_after=_draw_disconnect(scenario, kind, rng),
         )
         for number, (at, kind) in enumerate(drawn)
     ]
 
 
-def _draw_leaving(
-    scenario: PlacementScenario, kind: Kind, chance: random.Random
+def _draw_disconnect(
+    scenario: PlacementScenario, kind: Kind, rng: random.Random
 ) -> float | None:
-    if chance.random() >= scenario.leaves_early:
+    if rng.random() >= scenario.leaves_early:
         return None
-    return chance.uniform(0.2, 0.9) * kind.target
+    return rng.uniform(0.2, 0.9) * kind.target
 
 
 def _find_factor(scenario: PlacementScenario, kind: Kind, at: float) -> float:
--- a/src/scalebend/measuring/placement_table.py
+++ b/src/scalebend/measuring/placement_table.py
@@ -10,10 +10,10 @@
 from scalebend.measuring.placement_results import Decider, Result
 from scalebend.utils.quantiles import read_quantile
 
-WINDOW = 2.0
+WINDOW_S = 2.0
 """Seconds of one window of arrivals; the two worst of a run are told."""
 
-NORMAL_95 = 1.96
+Z_SCORE_95 = 1.96
 """Standard errors on either side of a mean that hold it in 95 of 100 cases."""
 
 
@@ -43,28 +43,28 @@
 
 def build_figures(decider: Decider, runs: list[list[Result]]) -> DeciderFigures:
     """Sum up the runs of one decider."""
-    worths = [_compute_part(run) for run in runs]
+    worths = [_compute_worth_share(run) for run in runs]
     error = 0.0
     if len(worths) > 1:
-        error = NORMAL_95 * statistics.stdev(worths) / math.sqrt(len(worths))
-    everything = [result for run in runs for result in run if not result.has_left]
-    names = dict.fromkeys(result.arrival.kind.name for result in everything)
+        error = Z_SCORE_95 * statistics.stdev(worths) / math.sqrt(len(worths))
+    counted = [result for run in runs for result in run if not result.has_left]
+    names = dict.fromkeys(result.arrival.kind.name for result in counted)
     return DeciderFigures(
         decider=decider.value,
         worth=statistics.fmean(worths),
         worth_error=error,
         worst_windows=statistics.fmean(_find_worst_windows(run) for run in runs),
-        kinds=[_build_kind(name, everything) for name in names],
+        kinds=[_build_kind_figures(name, counted) for name in names],
     )
 
 
-def _build_kind(name: str, results: list[Result]) -> KindFigures:
+def _build_kind_figures(name: str, results: list[Result]) -> KindFigures:
     of_kind = [result for result in results if result.arrival.kind.name == name]
     firsts = [r.first_event for r in of_kind if r.first_event is not None]
     return KindFigures(
         kind=name,
         requests=len(of_kind),
-        worth=_compute_part(of_kind),
+        worth=_compute_worth_share(of_kind),
         in_time=statistics.fmean(result.is_in_time for result in of_kind),
         refused=sum(result.refusals > 0 for result in of_kind),
         first_event_p50=read_quantile(firsts, 0.5),
@@ -72,7 +72,7 @@
     )
 
 
-def _compute_part(results: list[Result]) -> float:
+def _compute_worth_share(results: list[Result]) -> float:
     """Worth earned as a part of the worth owed; who left early is owed nothing."""
     owed = 0.0
     earned = 0.0
@@ -86,8 +86,8 @@
 def _find_worst_windows(results: list[Result]) -> float:
     windows: dict[int, list[Result]] = {}
     for result in results:
-        windows.setdefault(int(result.arrival.at // WINDOW), []).append(result)
-    return statistics.fmean(sorted(map(_compute_part, windows.values()))[:2])
+        windows.setdefault(int(result.arrival.at // WINDOW_S), []).append(result)
+    return statistics.fmean(sorted(map(_compute_worth_share, windows.values()))[:2])
 
 
 def format_table(figures: list[DeciderFigures]) -> str:
--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -20,13 +20,13 @@
 from scalebend.utils.division import divide_up
 from scalebend.utils.quantiles import read_quantile
 
-NETWORK_TIME = 0.004
+NETWORK_TIME_S = 0.004
 """Seconds that an idle fleet adds to a request: hops to the owner and the engine."""
 
-DEADLINE_SLACK = 0.1
+DEADLINE_SLACK_S = 0.1
 """Seconds after its time limit within which a request must have ended (one tick)."""
 
-SHARE_WINDOW = 60.0
+SHARE_WINDOW_S = 60.0
 
 
 class BandFigures(msgspec.Struct, frozen=True):
@@ -107,17 +107,17 @@
         now=0.0,
         speed=speed,
     )
-    first = 0.0
+    first_tokens = 0.0
     now = 0.0
     while (end := model.plan(now)) is not None:
         now = end
         for event in model.complete(now):
             match event:
                 case FirstToken(_, at):
-                    first = at
+                    first_tokens = at
                 case Finished(_, at):
-                    return IdleTimes(first + NETWORK_TIME, at + NETWORK_TIME)
-    return IdleTimes(first, now)
+                    return IdleTimes(first_tokens + NETWORK_TIME_S, at + NETWORK_TIME_S)
+    return IdleTimes(first_tokens, now)
 
 
 def build_figures(
@@ -155,13 +155,13 @@
         result.overfilled,
         sum(o.ran == "no" and o.starts > 0 for o in result.outcomes),
         result.run_twice,
-        sum(_is_wrong(outcome) for outcome in result.outcomes),
+        sum(_has_wrong_output(outcome) for outcome in result.outcomes),
         result.late_to_leaving,
     )
 
 
 def _is_in_window(scenario: Scenario, at: float) -> bool:
-    return scenario.duration - SHARE_WINDOW <= at < scenario.duration
+    return scenario.duration - SHARE_WINDOW_S <= at < scenario.duration
 
 
 def _ended_in_load(scenario: Scenario, outcome: Outcome) -> bool:
@@ -171,10 +171,10 @@
 
 
 def _is_past_limit(outcome: Outcome) -> bool:
-    return outcome.ended is None or outcome.ended > outcome.deadline + DEADLINE_SLACK
+    return outcome.ended is None or outcome.ended > outcome.deadline + DEADLINE_SLACK_S
 
 
-def _is_wrong(outcome: Outcome) -> bool:
+def _has_wrong_output(outcome: Outcome) -> bool:
     if outcome.error or outcome.order:
         return False
     return outcome.output_tokens != outcome.planned.output_tokens
@@ -183,25 +183,25 @@
 def _build_band(
     band: Band, outcomes: list[Outcome], parameters: EngineParameters
 ) -> BandFigures:
-    mine = [outcome for outcome in outcomes if outcome.planned.band is band]
-    whole = [o for o in mine if not o.error]
-    first = []
-    idle_first = []
+    in_band = [outcome for outcome in outcomes if outcome.planned.band is band]
+    completed = [o for o in in_band if not o.error]
+    first_tokens = []
+    idle_first_tokens = []
     slowdowns = []
-    for outcome in whole:
+    for outcome in completed:
         planned = outcome.planned
         idle = compute_idle(planned.prompt_tokens, planned.output_tokens, parameters)
         assert outcome.first_token is not None and outcome.ended is not None
-        first.append(outcome.first_token - planned.at + NETWORK_TIME / 2)
-        idle_first.append(idle.first_token)
+        first_tokens.append(outcome.first_token - planned.at + NETWORK_TIME_S / 2)
+        idle_first_tokens.append(idle.first_token)
         slowdowns.append((outcome.ended - planned.at) / idle.duration)
-    idle_p95 = read_quantile(idle_first, 0.95)
-    p95 = read_quantile(first, 0.95)
+    idle_p95 = read_quantile(idle_first_tokens, 0.95)
+    p95 = read_quantile(first_tokens, 0.95)
     return BandFigures(
         band.label,
-        len(mine),
-        len(mine) - len(whole),
-        read_quantile(first, 0.5),
+        len(in_band),
+        len(in_band) - len(completed),
+        read_quantile(first_tokens, 0.5),
         p95,
         idle_p95,
         p95 / idle_p95 if idle_p95 else 0.0,
--- a/src/scalebend/measuring/scenario.py
+++ b/src/scalebend/measuring/scenario.py
@@ -11,13 +11,13 @@
 from scalebend.standins.engine_model import EngineParameters
 from scalebend.standins.load import Band, PlannedRequest, draw_tokens
 
-SHORTEST = {
+MIN_PROMPT_TOKENS = {
     Band.SHORT: 1_000,
     Band.MEDIUM: 4_000,
     Band.LARGE: 32_000,
     Band.LONG: 100_000,
 }
-LONGEST = {
+MAX_PROMPT_TOKENS = {
     Band.SHORT: 3_900,
     Band.MEDIUM: 31_000,
     Band.LARGE: 99_000,
@@ -104,7 +104,7 @@
 
 def plan_load(scenario: Scenario, seed: int) -> list[PlannedRequest]:
     """Return the requests of a run, by time; the same for the same seed."""
-    chooser = random.Random(f"{scenario.name}/{seed}")
+    rng = random.Random(f"{scenario.name}/{seed}")
     rate = scenario.load * scenario.capacity * scenario.engines
     total = sum(customer.demand for customer in scenario.customers)
     planned: list[PlannedRequest] = []
@@ -112,7 +112,7 @@
         part = rate * customer.demand / total
         for name, share in customer.mix.items():
             work = part * share / sum(customer.mix.values())
-            planned += _plan_band(scenario, customer, Band[name.upper()], work, chooser)
+            planned += _plan_band(scenario, customer, Band[name.upper()], work, rng)
     planned.sort(key=lambda request: request.at)
     return [
         msgspec.structs.replace(request, number=number)
@@ -125,38 +125,38 @@
     customer: LoadCustomer,
     band: Band,
     work: float,
-    chooser: random.Random,
+    rng: random.Random,
 ) -> list[PlannedRequest]:
     if work <= 0.0:
         return []
-    sample = [_draw(band, chooser) for _ in range(400)]
+    sample = [_draw_sizes(band, rng) for _ in range(400)]
     mean = sum(compute_cost(t, o, scenario.parameters) for t, o in sample) / 400
     requests = []
     for start, end in customer.active or [(0.0, scenario.duration)]:
         at = start
-        while (at := at + chooser.expovariate(work / mean)) < end:
-            tokens, output = _draw(band, chooser)
-            requests.append(_build(scenario, customer, at, tokens, output, chooser))
+        while (at := at + rng.expovariate(work / mean)) < end:
+            tokens, output = _draw_sizes(band, rng)
+            requests.append(_build_request(scenario, customer, at, tokens, output, rng))
     return requests
 
 
-def _draw(band: Band, chooser: random.Random) -> tuple[int, int]:
-    tokens = draw_tokens(chooser, SHORTEST[band], LONGEST[band])
-    return tokens, draw_tokens(chooser, 40, 300)
+def _draw_sizes(band: Band, rng: random.Random) -> tuple[int, int]:
+    tokens = draw_tokens(rng, MIN_PROMPT_TOKENS[band], MAX_PROMPT_TOKENS[band])
+    return tokens, draw_tokens(rng, 40, 300)
 
 
-def _build(
+def _build_request(
     scenario: Scenario,
     customer: LoadCustomer,
     at: float,
     tokens: int,
     output: int,
-    chooser: random.Random,
+    rng: random.Random,
 ) -> PlannedRequest:
     prefix = None
     prefix_tokens = 0
-    if chooser.random() < scenario.shared_prefixes:
-        prefix = chooser.randrange(4) + 10 * (hash_name(customer.customer) % 1000)
+    if rng.random() < scenario.shared_prefixes:
+        prefix = rng.randrange(4) + 10 * (hash_name(customer.customer) % 1000)
         prefix_tokens = min(tokens - 1, 2_000)
     return PlannedRequest(
         0, at, customer.customer, tokens, output, prefix, prefix_tokens
