--- a/src/scalebend/commands/measure.py
+++ b/src/scalebend/commands/measure.py
@@ -42,7 +42,7 @@
     print(data.decode() if as_json else text)
     if out is not None:
         _store(out, read, figures, data)
-    return 1 if any(item.count_broken() for item in figures) else 0
+    return 1 if any(item.count_broken_promises() for item in figures) else 0
 
 
 def _run_all(scenario: Scenario, policies: list[str], seeds: range) -> list[Figures]:
@@ -86,10 +86,10 @@
             f"{policy:<11} long tokens/s "
             f"{_median(item.long_tokens_per_second for item in runs):,.0f}; work/s "
             f"{_median(item.work_per_second for item in runs):.2f}; failed {failed}; "
-            f"broken promises {sum(item.count_broken() for item in runs)}"
+            f"broken promises {sum(item.count_broken_promises() for item in runs)}"
         )
         for item in runs:
-            if item.count_broken():
+            if item.count_broken_promises():
                 lines.append(f"  seed {item.seed}: {_list_broken(item)}")
         shares = [
             f"{share.customer} {share.used:.3f}/{share.entitled:.3f}"
@@ -105,7 +105,7 @@
         f"past limit {item.past_time_limit}, memory left {item.memory_left}, "
         f"overfilled {item.overfilled}, wrong not-run {item.wrong_not_run}, "
         f"run twice {item.run_twice}, wrong answers {item.wrong_answers}, "
-        f"late to leaving {item.late_to_leaving}"
+        f"late to leaving {item.late_starts_on_draining}"
     )
 
 
--- a/src/scalebend/commands/measure_changes.py
+++ b/src/scalebend/commands/measure_changes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from scalebend.edges.logs import configure_logs
-from scalebend.measuring.changes import measure_recovery, measure_spread
+from scalebend.measuring.changes import measure_change_propagation, measure_recovery
 from scalebend.models.settings import LogFormat, Logging
 
 SIZES = (9, 30, 90)
@@ -19,7 +19,7 @@
 def run(*, as_json: bool) -> int:
     """Measure and print."""
     configure_logs(Logging(LogFormat.JSON, "critical"))
-    spreads = [measure_spread(size) for size in SIZES]
+    spreads = [measure_change_propagation(size) for size in SIZES]
     recoveries = []
     for count in CHANGES:
         with tempfile.TemporaryDirectory() as folder:
--- a/src/scalebend/measuring/engine_passes.py
+++ b/src/scalebend/measuring/batch_engine.py
@@ -13,16 +13,16 @@
 from scalebend.measuring.placement_scenario import Engines
 
 
-class Reading(msgspec.Struct):
+class PrefillWork(msgspec.Struct):
     """A prompt, or a part of one, that an engine reads."""
 
     job: int
     seconds: float
     tokens: int
-    is_joint: bool
+    is_grouped: bool
 
 
-class Writing(msgspec.Struct):
+class DecodeWork(msgspec.Struct):
     """An answer that an engine writes."""
 
     job: int
@@ -30,25 +30,25 @@
     events_left: int
 
 
-class PassEnded(msgspec.Struct, frozen=True):
+class BatchStepResult(msgspec.Struct, frozen=True):
     """What a pass brought: prompts read, and events written, by job."""
 
-    read: list[int]
-    written: list[int]
+    prefilled: list[int]
+    decoded: list[int]
 
 
-class PassEngine:
+class BatchEngine:
     """One engine."""
 
     def __init__(self, engines: Engines) -> None:
         self._profile = engines.build_profile()
         self._slots = engines.slots
         self._max_prefill_tokens = engines.chunk_tokens * engines.steps_per_pass
-        self._grouped: list[Reading] = []
-        self._ordinary: list[Reading] = []
-        self._queued: list[Reading] = []
-        self._decoding: dict[int, Writing] = {}
-        self._current_step: list[Reading] | None = None
+        self._grouped: list[PrefillWork] = []
+        self._ordinary: list[PrefillWork] = []
+        self._queued: list[PrefillWork] = []
+        self._decoding: dict[int, DecodeWork] = {}
+        self._current_step: list[PrefillWork] | None = None
         self._lead_jobs: set[int] = set()
         self.incarnation = 0
 
@@ -62,52 +62,52 @@
         """Whether no pass is under way."""
         return self._current_step is None
 
-    def add(self, reading: Reading, *, is_first: bool) -> None:
+    def add_prefill(self, prefill: PrefillWork, *, is_lead: bool) -> None:
         """A prompt or part arrived."""
-        if is_first and len(self._lead_jobs) >= self._slots:
-            self._queued.append(reading)
+        if is_lead and len(self._lead_jobs) >= self._slots:
+            self._queued.append(prefill)
             return
-        if is_first:
-            self._lead_jobs.add(reading.job)
-        (self._grouped if reading.is_joint else self._ordinary).append(reading)
+        if is_lead:
+            self._lead_jobs.add(prefill.job)
+        (self._grouped if prefill.is_grouped else self._ordinary).append(prefill)
 
-    def write(self, writing: Writing) -> None:
+    def start_decoding(self, decode: DecodeWork) -> None:
         """The whole prompt was read: answer from the next pass on."""
-        self._decoding[writing.job] = writing
+        self._decoding[decode.job] = decode
 
-    def is_writing(self, job: int) -> bool:
+    def is_decoding(self, job: int) -> bool:
         """Whether more events of a request are to come."""
         return job in self._decoding
 
-    def drop(self, job: int) -> None:
+    def cancel(self, job: int) -> None:
         """A request was cancelled."""
         for queue in (self._grouped, self._ordinary, self._queued):
-            queue[:] = [reading for reading in queue if reading.job != job]
+            queue[:] = [prefill for prefill in queue if prefill.job != job]
         self._decoding.pop(job, None)
         self._release_slot(job)
 
     def crash(self) -> set[int]:
         """Everything here is lost; return the jobs that had a part of it."""
-        readings = (*self._grouped, *self._ordinary, *self._queued)
-        lost = {reading.job for reading in readings} | set(self._decoding)
+        prefills = (*self._grouped, *self._ordinary, *self._queued)
+        lost = {prefill.job for prefill in prefills} | set(self._decoding)
         if self._current_step is not None:
-            lost |= {reading.job for reading in self._current_step}
+            lost |= {prefill.job for prefill in self._current_step}
         self._grouped, self._ordinary, self._queued = [], [], []
         self._decoding, self._lead_jobs, self._current_step = {}, set(), None
         self.incarnation += 1
         return lost
 
-    def begin_pass(self) -> float | None:
+    def begin_batch_step(self) -> float | None:
         """Seconds that the next pass takes; ``None`` when there is nothing to do."""
         chosen = self._take_prefills()
         if not chosen and not self._decoding:
             return None
         self._current_step = chosen
-        contexts = [writing.context for writing in self._decoding.values()]
+        contexts = [decode.context for decode in self._decoding.values()]
         steps = compute_batch_step_time(self._profile, contexts)
-        return steps + sum(reading.seconds for reading in chosen)
+        return steps + sum(prefill.seconds for prefill in chosen)
 
-    def _take_prefills(self) -> list[Reading]:
+    def _take_prefills(self) -> list[PrefillWork]:
         """Take from the queues what one pass reads; a rest stays there."""
         left = self._max_prefill_tokens
         chosen = []
@@ -115,42 +115,42 @@
             queue, position = (
                 (self._grouped, -1) if self._grouped else (self._ordinary, 0)
             )
-            reading = queue.pop(position)
-            if reading.tokens <= left:
-                left -= reading.tokens
-                chosen.append(reading)
+            prefill = queue.pop(position)
+            if prefill.tokens <= left:
+                left -= prefill.tokens
+                chosen.append(prefill)
                 continue
-            part = left / reading.tokens
-            seconds = reading.seconds * part
-            rest = Reading(
-                reading.job,
-                reading.seconds - seconds,
-                reading.tokens - left,
-                reading.is_joint,
+            part = left / prefill.tokens
+            seconds = prefill.seconds * part
+            rest = PrefillWork(
+                prefill.job,
+                prefill.seconds - seconds,
+                prefill.tokens - left,
+                prefill.is_grouped,
             )
             queue.insert(len(queue) if queue is self._grouped else 0, rest)
-            chosen.append(Reading(reading.job, seconds, left, reading.is_joint))
+            chosen.append(PrefillWork(prefill.job, seconds, left, prefill.is_grouped))
             left = 0
         return chosen
 
-    def end_pass(self) -> PassEnded:
+    def end_batch_step(self) -> BatchStepResult:
         """The pass is over."""
         assert self._current_step is not None
-        resting = {one.job for one in (*self._grouped, *self._ordinary)}
-        read = [one.job for one in self._current_step if one.job not in resting]
+        unfinished = {one.job for one in (*self._grouped, *self._ordinary)}
+        prefilled = [one.job for one in self._current_step if one.job not in unfinished]
         self._current_step = None
-        written = []
-        for writing in list(self._decoding.values()):
-            writing.events_left -= 1
-            written.append(writing.job)
-            if writing.events_left <= 0:
-                del self._decoding[writing.job]
-                self._release_slot(writing.job)
-        return PassEnded(read, written)
+        decoded = []
+        for decode in list(self._decoding.values()):
+            decode.events_left -= 1
+            decoded.append(decode.job)
+            if decode.events_left <= 0:
+                del self._decoding[decode.job]
+                self._release_slot(decode.job)
+        return BatchStepResult(prefilled, decoded)
 
     def _release_slot(self, job: int) -> None:
         self._lead_jobs.discard(job)
         while self._queued and len(self._lead_jobs) < self._slots:
-            reading = self._queued.pop(0)
-            self._lead_jobs.add(reading.job)
-            (self._grouped if reading.is_joint else self._ordinary).append(reading)
+            prefill = self._queued.pop(0)
+            self._lead_jobs.add(prefill.job)
+            (self._grouped if prefill.is_grouped else self._ordinary).append(prefill)
--- a/src/scalebend/measuring/changes.py
+++ b/src/scalebend/measuring/changes.py
@@ -10,7 +10,7 @@
 from scalebend.core.consensus.messages import Recovered
 from scalebend.core.control_member import ControlMember
 from scalebend.core.control_state import ApplyConfiguration, encode_command
-from scalebend.measuring.harness import START_TIME, Harness
+from scalebend.measuring.harness import START_TIME_S, Harness
 from scalebend.measuring.scenario import LoadCustomer, Scenario
 from scalebend.models.configuration import Configuration, ConfigurationChange, Customer
 from scalebend.models.ids import (
@@ -29,7 +29,7 @@
 LEADER_CRASH_COUNT = 12
 
 
-class SpreadFigures(msgspec.Struct, frozen=True):
+class PropagationFigures(msgspec.Struct, frozen=True):
     """Seconds in virtual time."""
 
     instances: int
@@ -49,7 +49,7 @@
     folder_bytes: int
 
 
-def measure_spread(instances: int) -> SpreadFigures:
+def measure_change_propagation(instances: int) -> PropagationFigures:
     """Apply changes at changing instances; then lose the leader again and again."""
     scenario = Scenario(
         "changes",
@@ -59,14 +59,14 @@
         services=0,
     )
     harness = Harness(scenario, "split-fair", 1)
-    harness.run_until(START_TIME + 4.0)
+    harness.run_until(START_TIME_S + 4.0)
     spread = [_measure_change(harness, number) for number in range(CHANGE_COUNT)]
     gaps = []
     for seed in range(LEADER_CRASH_COUNT):
         lost = Harness(scenario, "split-fair", seed)
-        lost.run_until(START_TIME + 2.0 + seed * 0.03)
+        lost.run_until(START_TIME_S + 2.0 + seed * 0.03)
         gaps.append(_measure_time_without_leader(lost))
-    return SpreadFigures(
+    return PropagationFigures(
         instances,
         read_quantile(spread, 0.5),
         read_quantile(spread, 0.99),
@@ -102,7 +102,7 @@
 def _measure_time_without_leader(harness: Harness) -> float:
     leader = _find_leader(harness)
     assert leader is not None
-    harness.lose_instance(leader)
+    harness.crash_instance(leader)
     lost = harness.now
     while _find_leader(harness) is None and harness.now < lost + MAX_WAIT_S:
         harness.run_until(harness.now + STEP_S)
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -75,15 +75,15 @@
 
 MODEL = ModelName("dossiers")
 SERVICE = ServiceName("work-orders")
-TICK = 0.05
-ANNOUNCE_PERIOD = 0.5
-START_TIME = 4.0
+TICK_INTERVAL_S = 0.05
+ANNOUNCE_INTERVAL_S = 0.5
+START_TIME_S = 4.0
 """Virtual seconds for elections and announcements before the load begins."""
 
-TAIL_TIME = 10.0
+TAIL_TIME_S = 10.0
 """Seconds after the last request at which no memory may be held."""
 
-SERVICE_TIME = 0.02
+SERVICE_TIME_S = 0.02
 
 
 class _Engine(msgspec.Struct):
@@ -132,7 +132,7 @@
         self._work_done: list[tuple[float, str, float]] = []
         self._cancel_loss = 0.0
         self._message_loss = 0.0
-        self._late_to_leaving = 0
+        self._late_starts_on_draining = 0
         self._draining_since: dict[UpstreamId, float] = {}
         self._build_fleet(seed)
 
@@ -162,16 +162,16 @@
 
     def run(self, planned: list[PlannedRequest]) -> RunResult:
         """Run the load to its end."""
-        self.run_until(START_TIME)
+        self.run_until(START_TIME_S)
         for request in planned:
-            self.call_at(START_TIME + request.at, self._bind(self._send, request))
+            self.call_at(START_TIME_S + request.at, self._bind(self._send, request))
         for fault in self.scenario.faults:
-            self.call_at(START_TIME + fault.at, self._bind(self._inject_fault, fault))
+            self.call_at(START_TIME_S + fault.at, self._bind(self._inject_fault, fault))
         self._schedule_orders()
-        last = START_TIME + self.scenario.duration
+        last = START_TIME_S + self.scenario.duration
         while self.now < last or self._has_open_requests():
             self.run_until(self.now + 1.0)
-        self.run_until(self.now + TAIL_TIME)
+        self.run_until(self.now + TAIL_TIME_S)
         engines = self._engines.values()
         return RunResult(
             list(self._outcomes.values()),
@@ -180,7 +180,7 @@
             sum(count > 1 for count in self._orders_run.values()),
             self._work_done,
             len(self._outcomes),
-            self._late_to_leaving,
+            self._late_starts_on_draining,
         )
 
     def _has_open_requests(self) -> bool:
@@ -210,7 +210,7 @@
             self._instances[name] = Instance(
                 settings, recovered, now=0.0, incarnation=1, seed=seed
             )
-            offset = TICK * number / len(names)
+            offset = TICK_INTERVAL_S * number / len(names)
             self.call_at(offset, self._bind(self._tick, name))
         for number in range(scenario.engines):
             upstream = UpstreamId(f"engine-{number:03}")
@@ -218,7 +218,7 @@
                 upstream, zones[number % len(zones)], EngineModel(scenario.parameters)
             )
             self._engines[upstream] = engine
-            at = 1.5 + ANNOUNCE_PERIOD * number / scenario.engines
+            at = 1.5 + ANNOUNCE_INTERVAL_S * number / scenario.engines
             self.call_at(at, self._bind(self._announce_engine, upstream))
         for number in range(scenario.services):
             upstream = UpstreamId(f"service-{number}")
@@ -276,7 +276,7 @@
             return
         self._execute(name, instance.advance(self.now, self.now))
         self._run_control(name)
-        self.call_at(self.now + TICK, self._bind(self._tick, name))
+        self.call_at(self.now + TICK_INTERVAL_S, self._bind(self._tick, name))
 
     def _run_control(self, name: InstanceId) -> None:
         instance = self._instances.get(name)
@@ -364,7 +364,7 @@
             output_tokens=planned.output_tokens,
             prefixes=tuple(prefix for prefix, _ in build_prefixes(planned)),
         )
-        outcome = Outcome(planned, deadline=request.deadline - START_TIME)
+        outcome = Outcome(planned, deadline=request.deadline - START_TIME_S)
         self._admit(name, request, outcome)
 
     def _schedule_orders(self) -> None:
@@ -375,7 +375,7 @@
         while (at := at + 1.0 / self.scenario.order_rate) < self.scenario.duration:
             number += 1
             work = self._bind(self._send_order, number, at)
-            self.call_at(START_TIME + at, work)
+            self.call_at(START_TIME_S + at, work)
 
     def _send_order(self, number: int, at: float) -> None:
         name = self._random.choice(sorted(self._instances))
@@ -394,7 +394,7 @@
             fingerprint=key,
         )
         planned = PlannedRequest(-number, at, customer, 0, 0)
-        outcome = Outcome(planned, order=key, deadline=request.deadline - START_TIME)
+        outcome = Outcome(planned, order=key, deadline=request.deadline - START_TIME_S)
         self._admit(name, request, outcome)
 
     def _admit(self, name: InstanceId, request: Request, outcome: Outcome) -> None:
@@ -414,7 +414,7 @@
         outcome = self._outcomes[request]
         if outcome.ended is not None:
             return
-        outcome.ended = self.now - START_TIME
+        outcome.ended = self.now - START_TIME_S
         if error is not None:
             outcome.error = error.kind.value
             outcome.ran = error.ran.value
@@ -488,7 +488,7 @@
         run.outcome.starts += 1
         key = run.outcome.order
         self._orders_run[key] = self._orders_run.get(key, 0) + 1
-        self._report_result(run, Completed(), SERVICE_TIME)
+        self._report_result(run, Completed(), SERVICE_TIME_S)
 
     def _run_engine(self, run: _RunningAttempt, start: StartAttempt) -> None:
         group = [self._engines[upstream] for upstream in start.upstreams]
@@ -520,7 +520,7 @@
         run.outcome.starts += 1
         left_at = self._draining_since.get(lead.name)
         if left_at is not None and self.now > left_at + 2.0:
-            self._late_to_leaving += 1
+            self._late_starts_on_draining += 1
         self._plan_steps(lead)
 
     def _begin_import(self, run: _RunningAttempt, start: StartAttempt) -> None:
@@ -561,7 +561,7 @@
             match event:
                 case FirstToken():
                     if run is not None and run.outcome.first_token is None:
-                        run.outcome.first_token = self.now - START_TIME
+                        run.outcome.first_token = self.now - START_TIME_S
                     self._report_started(run)
                     if run is not None and run.is_prefill_only:
                         self._report_result(run, Prefilled(), 0.001)
@@ -577,7 +577,7 @@
         planned = self._outcomes[request].planned
         parameters = self.scenario.parameters
         cost = compute_cost(planned.prompt_tokens, planned.output_tokens, parameters)
-        self._work_done.append((self.now - START_TIME, planned.customer, cost))
+        self._work_done.append((self.now - START_TIME_S, planned.customer, cost))
 
     def _report_started(self, run: _RunningAttempt | None) -> None:
         if run is None:
@@ -641,7 +641,7 @@
     def _announce_engine(self, upstream: UpstreamId) -> None:
         engine = self._engines[upstream]
         work = self._bind(self._announce_engine, upstream)
-        self.call_at(self.now + ANNOUNCE_PERIOD, work)
+        self.call_at(self.now + ANNOUNCE_INTERVAL_S, work)
         if not engine.is_up:
             return
         engine.sequence += 1
@@ -668,7 +668,7 @@
 
     def _announce_service(self, upstream: UpstreamId, sequence: int) -> None:
         work = self._bind(self._announce_service, upstream, sequence + 1)
-        self.call_at(self.now + ANNOUNCE_PERIOD, work)
+        self.call_at(self.now + ANNOUNCE_INTERVAL_S, work)
         announcement = Announcement(
             upstream=upstream,
             family=UpstreamKindName.SERVICE,
@@ -702,7 +702,7 @@
             case FaultKind.INSTANCE_LOST:
                 names = sorted(self._instances)[self.scenario.control :]
                 for name in self._random.sample(names, fault.count):
-                    self.lose_instance(name)
+                    self.crash_instance(name)
             case FaultKind.CANCELLATIONS_LOST:
                 self._cancel_loss = fault.rate
             case FaultKind.MESSAGES_LOST:
@@ -711,7 +711,7 @@
                     self.call_at(self.now + fault.back_after, self._stop_message_loss)
             case FaultKind.LINKS_LOST:
                 self._break_connections(fault.rate)
-            case FaultKind.ENGINE_LEAVES:
+            case FaultKind.ENGINE_DRAINS:
                 for engine in list(self._engines.values())[: fault.count]:
                     engine.is_draining = True
                     self._draining_since[engine.name] = self.now
@@ -732,14 +732,14 @@
         engine.incarnation += 1
         engine.is_up = True
 
-    def lose_instance(self, name: InstanceId) -> None:
+    def crash_instance(self, name: InstanceId) -> None:
         """End an instance without warning."""
         del self._instances[name]
         for request, home in self._homes.items():
             outcome = self._outcomes[request]
             if home == name and outcome.ended is None:
                 # The caller sees its connection end; it is told nothing.
-                outcome.ended = self.now - START_TIME
+                outcome.ended = self.now - START_TIME_S
                 outcome.error = "instance-lost"
                 outcome.ran = "unknown"
         for attempt in [a for a, r in self._attempts.items() if r.instance == name]:
--- a/src/scalebend/measuring/leader_queue.py
+++ b/src/scalebend/measuring/leader_queue.py
@@ -7,11 +7,11 @@
 from scalebend.core.gateway.timeouts import LEADER_BACKOFF_S, PLACEMENT_TIMEOUT_S
 
 
-class Answer(msgspec.Struct, frozen=True):
+class LeaderDecision(msgspec.Struct, frozen=True):
     """When a front has its answer, and whether the leader gave it."""
 
     at: float
-    is_led: bool
+    is_coordinated: bool
 
 
 class LeaderQueue:
@@ -24,16 +24,16 @@
         self.free_at = 0.0
         """When all that was asked so far is answered."""
 
-    def ask(self, front: int, way: float, now: float) -> Answer:
+    def place(self, front: int, round_trip_s: float, now: float) -> LeaderDecision:
         """Ask at ``now``, over a way of ``way`` seconds to the leader and back.
 
         A front that waits in vain decides alone, and asks nothing for a while.
         """
         if now < self._backoff_until[front]:
-            return Answer(now, is_led=False)
-        self.free_at = max(self.free_at, now + way / 2.0) + self._choice_time
-        answered_at = self.free_at + way / 2.0
-        if answered_at <= now + PLACEMENT_TIMEOUT_S:
-            return Answer(answered_at, is_led=True)
+            return LeaderDecision(now, is_coordinated=False)
+        self.free_at = max(self.free_at, now + round_trip_s / 2.0) + self._choice_time
+        decided_at = self.free_at + round_trip_s / 2.0
+        if decided_at <= now + PLACEMENT_TIMEOUT_S:
+            return LeaderDecision(decided_at, is_coordinated=True)
         self._backoff_until[front] = now + PLACEMENT_TIMEOUT_S + LEADER_BACKOFF_S
-        return Answer(now + PLACEMENT_TIMEOUT_S, is_led=False)
+        return LeaderDecision(now + PLACEMENT_TIMEOUT_S, is_coordinated=False)
--- a/src/scalebend/measuring/losses.py
+++ b/src/scalebend/measuring/losses.py
@@ -26,19 +26,19 @@
 class Reason(Enum):
     """Why a request earned less than its whole worth."""
 
-    REFUSED = "refused: no place in time"
-    TURNED_AWAY = "refused: replicas turned it away"
-    ALL_CLOSED = "refused: all replicas asked for a pause"
+    REJECTED = "refused: no place in time"
+    REJECTED_BY_REPLICAS = "refused: replicas turned it away"
+    ALL_IN_BACKOFF = "refused: all replicas asked for a pause"
     NOT_READY = "refused: no lease or stopping"
-    CALLER_LEFT = "caller left or its connection was lost"
+    CALLER_DISCONNECTED = "caller left or its connection was lost"
     REPLICA_FAILED = "replicas failed it"
     REPLICA_LOST = "placed again after an attempt was lost"
     TIMED_OUT = "time limit reached"
-    WAITED = "waited for its turn"
+    QUEUED = "waited for its turn"
     NO_LEADER = "placed without the leader"
     REPLICA_SLOW = "replica slower than predicted"
     LATE = "late as predicted"
-    PAUSE = "pause between events"
+    STALLED = "pause between events"
     UNKNOWN = "no reason in the log"
 
 
@@ -59,10 +59,10 @@
     start_in: float = 0.0
     had_leader: bool = True
     was_declined: bool = False
-    met_pause: bool = False
+    met_backoff: bool = False
     """Whether all upstreams that were left had asked for a pause."""
 
-    has_left: bool = False
+    has_disconnected: bool = False
     outcomes: list[str] = msgspec.field(default_factory=list)
 
 
@@ -126,11 +126,11 @@
         case "engines declined":
             seen.was_declined = True
         case "all upstreams asked for a pause":
-            seen.met_pause = True
+            seen.met_backoff = True
         case "attempt ended":
             seen.outcomes.append(event["outcome"])
         case "caller left":
-            seen.has_left = True
+            seen.has_disconnected = True
         case "request answered":
             for field in ("route", "status", "kind", "elapsed", "target", "event_gap"):
                 setattr(seen, field, event.get(field))
@@ -141,15 +141,15 @@
 
 def find_reason(seen: LoggedRequest) -> Reason | None:
     """Why a request was not served in time; ``None`` when it was."""
-    if seen.has_left or seen.status is None:
-        return Reason.CALLER_LEFT
+    if seen.has_disconnected or seen.status is None:
+        return Reason.CALLER_DISCONNECTED
     if seen.status >= 400 or seen.status == 0:
         return _find_failure_reason(seen)
     first = seen.first_event if seen.first_event is not None else seen.elapsed
     if seen.target is not None and first > seen.target:
         return _find_delay_reason(seen, first)
     if seen.event_gap is not None and seen.longest_gap > seen.event_gap:
-        return Reason.REPLICA_LOST if seen.outcomes else Reason.PAUSE
+        return Reason.REPLICA_LOST if seen.outcomes else Reason.STALLED
     return None
 
 
@@ -167,11 +167,11 @@
 
 
 def _find_rejection_reason(seen: LoggedRequest) -> Reason:
-    if seen.met_pause:
-        return Reason.ALL_CLOSED
+    if seen.met_backoff:
+        return Reason.ALL_IN_BACKOFF
     if "rejected" in seen.outcomes and not seen.was_declined:
-        return Reason.TURNED_AWAY
-    return Reason.REFUSED
+        return Reason.REJECTED_BY_REPLICAS
+    return Reason.REJECTED
 
 
 def _find_delay_reason(seen: LoggedRequest, first: float) -> Reason:
@@ -184,12 +184,12 @@
     if first > SLOW_FACTOR * seen.predicted:
         return Reason.REPLICA_SLOW
     if seen.start_in > LONG_WAIT_SHARE * seen.target:
-        return Reason.WAITED
+        return Reason.QUEUED
     return Reason.LATE
 
 
 def _has_reached_time_limit(seen: LoggedRequest) -> bool:
-    return seen.kind == "time-limit" and not seen.has_left
+    return seen.kind == "time-limit" and not seen.has_disconnected
 
 
 def _is_cut_short(seen: LoggedRequest, ended_routes: set[str | None]) -> bool:
--- a/src/scalebend/measuring/outcomes.py
+++ b/src/scalebend/measuring/outcomes.py
@@ -35,7 +35,7 @@
     run_twice: int
     used_by_customer: list[tuple[float, str, float]]
     decisions: int
-    late_to_leaving: int = 0
+    late_starts_on_draining: int = 0
 
 
 def build_prefixes(planned: PlannedRequest) -> tuple[tuple[int, int], ...]:
--- a/src/scalebend/measuring/placement_baselines.py
+++ b/src/scalebend/measuring/placement_baselines.py
@@ -12,22 +12,22 @@
 from scalebend.models.placement import EngineWork, Helper, Placement
 from scalebend.models.routing import EngineProfile
 
-TOKENS_A_HELPER = 60_000
+TOKENS_PER_HELPER = 60_000
 """Tokens of a prompt for which the plain way takes one more engine."""
 
 
-def place_simply(
+def place_baseline(
     work: EngineWork, endpoint: Endpoint, alive: list[Endpoint]
 ) -> Placement:
     """``endpoint``, and as many of the next ones in order as the prompt is long."""
-    more = min(MAX_HELPERS, work.prompt_tokens // TOKENS_A_HELPER)
+    more = min(MAX_HELPERS, work.prompt_tokens // TOKENS_PER_HELPER)
     position = alive.index(endpoint)
     others = (alive[position + 1 :] + alive[:position])[:more]
     helpers = tuple(Helper(one.upstream, one.address) for one in others)
     return Placement(endpoint.upstream, endpoint.address, helpers, 0.0)
 
 
-def serve_alone(
+def serve_on_idle_fleet(
     result: Result, profile: EngineProfile, engines: int, way: float
 ) -> None:
     """Note what became of a request that has ``engines`` idle engines for itself.
@@ -42,4 +42,4 @@
     event = compute_batch_step_time(profile, [arrival.prompt])
     result.first_event = read / width + event + 3 * way
     result.longest_gap = event
-    result.is_whole = True
+    result.is_complete = True
--- a/src/scalebend/measuring/placement_cells.py
+++ b/src/scalebend/measuring/placement_cells.py
@@ -24,12 +24,12 @@
     endpoints: list[Endpoint]
     queue: LeaderQueue
     scheduler: EngineScheduler = msgspec.field(default_factory=EngineScheduler)
-    told_load: float = 0.0
+    reported_load: float = 0.0
     """Open jobs for each engine, as fronts last heard."""
 
-    def tell_load(self) -> None:
+    def publish_load(self) -> None:
         """Let fronts hear how full the cell is."""
-        self.told_load = self.scheduler.open_jobs / max(1, len(self.endpoints))
+        self.reported_load = self.scheduler.open_jobs / max(1, len(self.endpoints))
 
 
 def build_endpoints(profile: EngineProfile, count: int) -> list[Endpoint]:
@@ -67,4 +67,4 @@
     led = [cell for cell in cells if not is_lost(cell)]
     if len(led) <= 1:
         return led[0] if led else None
-    return min(rng.sample(led, 2), key=lambda cell: cell.told_load)
+    return min(rng.sample(led, 2), key=lambda cell: cell.reported_load)
--- a/src/scalebend/measuring/placement_results.py
+++ b/src/scalebend/measuring/placement_results.py
@@ -21,7 +21,7 @@
     """Who decides where work goes."""
 
     LEADER = "leader"
-    ALONE = "alone"
+    UNCOORDINATED = "alone"
     FEWEST_OPEN = "fewest-open"
     RANDOM = "random"
     IDLE_FLEET = "idle-fleet"
@@ -35,18 +35,18 @@
     first_event: float | None = None
     last_event: float = 0.0
     longest_gap: float = 0.0
-    is_whole: bool = False
-    refusals: int = 0
-    has_left: bool = False
-    held: float = 0.0
+    is_complete: bool = False
+    rejections: int = 0
+    has_disconnected: bool = False
+    wasted_wait_s: float = 0.0
     """Seconds for which it was held in vain before its last refusal."""
 
     @property
-    def is_in_time(self) -> bool:
+    def is_on_time(self) -> bool:
         """Whether it was served within its target and its event gap."""
         kind = self.arrival.kind
         return (
-            self.is_whole
+            self.is_complete
             and self.first_event is not None
             and self.first_event <= kind.target
             and self.longest_gap <= kind.event_gap
@@ -55,15 +55,16 @@
     def compute_worth(self) -> float:
         """Worth earned, less the price of refusals."""
         kind = self.arrival.kind
-        if self.is_in_time:
+        if self.is_on_time:
             return kind.worth * self.arrival.size_factor
-        if self.is_whole:
+        if self.is_complete:
             return kind.late_worth * self.arrival.size_factor
         free_until = FREE_WAIT_SHARE * kind.target
         full_cost_from = FULL_COST_WAIT_SHARE * kind.deadline
         price = min(
-            1.0, max(0.0, self.held - free_until) / (full_cost_from - free_until)
+            1.0,
+            max(0.0, self.wasted_wait_s - free_until) / (full_cost_from - free_until),
         )
-        if self.refusals > 1:
+        if self.rejections > 1:
             price += SECOND_REJECTION_COST_SHARE
         return -price * kind.worth * self.arrival.size_factor
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -24,8 +24,8 @@
     age_placement,
     age_work,
 )
-from scalebend.measuring.engine_passes import PassEngine, Reading, Writing
-from scalebend.measuring.placement_baselines import place_simply, serve_alone
+from scalebend.measuring.batch_engine import BatchEngine, DecodeWork, PrefillWork
+from scalebend.measuring.placement_baselines import place_baseline, serve_on_idle_fleet
 from scalebend.measuring.placement_cells import (
     SERVICE,
     Cell,
@@ -94,7 +94,7 @@
         self._rng = random.Random(seed + 1)
         self._profile = scenario.engines.build_profile()
         self._engines = [
-            PassEngine(scenario.engines) for _ in range(scenario.engines.count)
+            BatchEngine(scenario.engines) for _ in range(scenario.engines.count)
         ]
         self._endpoints = build_endpoints(self._profile, scenario.engines.count)
         self._numbers = {one.upstream: n for n, one in enumerate(self._endpoints)}
@@ -111,7 +111,7 @@
         self._now = 0.0
         self._readiness = [self._rng.random() for _ in range(scenario.fronts)]
         self.choices = 0
-        self.choices_alone = 0
+        self.uncoordinated_choices = 0
         """Choices that fronts made without the leader."""
 
         self.results: list[Result] = []
@@ -129,7 +129,7 @@
                 lost.at + lost.length,
                 lambda one=lost: self._replace_leaders(self._cells[: one.cells]),  # type: ignore[misc]
             )
-        for cut in scenario.fronts_cut:
+        for cut in scenario.front_partitions:
             self._call_at(cut.at, lambda one=cut: self._forget_front_jobs(one.count))  # type: ignore[misc]
             self._call_at(
                 cut.at + cut.length, lambda: self._replace_leaders(self._cells)
@@ -143,7 +143,9 @@
         """Play everything; return what became of each request."""
         if self._decider is Decider.IDLE_FLEET:
             for result in self.results:
-                serve_alone(result, self._profile, len(self._engines), HOP_TIME_S)
+                serve_on_idle_fleet(
+                    result, self._profile, len(self._engines), HOP_TIME_S
+                )
             return self.results
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
@@ -176,8 +178,8 @@
             if self._now < ready_at:
                 self._call_at(ready_at, lambda: self._arrive(result))
                 return
-        if arrival.leaves_after is not None:
-            leave_at = arrival.at + arrival.leaves_after
+        if arrival.disconnects_after is not None:
+            leave_at = arrival.at + arrival.disconnects_after
             self._call_at(
                 max(leave_at, self._now), lambda: self._disconnect_caller(result)
             )
@@ -194,14 +196,14 @@
                 self._now + LEADER_ROUND_TRIP_S, lambda: self._place(result, None)
             )
             return
-        answer = cell.queue.ask(front, LEADER_ROUND_TRIP_S, self._now)
-        leading_cell = cell if answer.is_led else None
-        self._call_at(answer.at, lambda: self._place(result, leading_cell))
+        decision = cell.queue.place(front, LEADER_ROUND_TRIP_S, self._now)
+        leading_cell = cell if decision.is_coordinated else None
+        self._call_at(decision.at, lambda: self._place(result, leading_cell))
 
     def _place(self, result: Result, cell: Cell | None) -> None:
         arrival = result.arrival
         remaining = arrival.at + arrival.kind.deadline - self._now
-        if result.has_left or remaining <= 0.0:
+        if result.has_disconnected or remaining <= 0.0:
             return
         self._job_count += 1
         number = self._job_count
@@ -250,7 +252,7 @@
         placed = self._decide(job.work, job.result.arrival.front, cell)
         if isinstance(placed, Declined):
             job.has_ended = True
-            job.result.held += self._now - job.placed_at
+            job.result.wasted_wait_s += self._now - job.placed_at
             self._report_stage(job, is_ended=True)
             self._reject(job.result, placed.retry_after, job.work.remaining)
             return
@@ -267,12 +269,12 @@
         alive = [e for e in endpoints if self._numbers[e.upstream] not in self._down]
         match self._decider:
             case Decider.RANDOM:
-                return place_simply(work, self._rng.choice(alive), alive)
+                return place_baseline(work, self._rng.choice(alive), alive)
             case Decider.FEWEST_OPEN:
-                return place_simply(work, min(alive, key=self._count_open), alive)
+                return place_baseline(work, min(alive, key=self._count_open), alive)
         scheduler = self._fronts[front] if cell is None else cell.scheduler
         self.choices += 1
-        self.choices_alone += cell is None
+        self.uncoordinated_choices += cell is None
         return scheduler.place(work, alive, self._profile, self._now)
 
     def _report_open_job(self, job: _Job) -> None:
@@ -311,7 +313,7 @@
         """Whether a front has no leader of this cell to ask now."""
         scenario = self._scenario
         return (
-            self._decider is Decider.ALONE
+            self._decider is Decider.UNCOORDINATED
             or any(
                 self._is_within(one.at, one.length)
                 and (one.cells is None or cell.number < one.cells)
@@ -319,7 +321,7 @@
             )
             or any(
                 front < one.count and self._is_within(one.at, one.length)
-                for one in scenario.fronts_cut
+                for one in scenario.front_partitions
             )
         )
 
@@ -361,7 +363,7 @@
     def _send_heartbeats(self) -> None:
         """Heartbeats of leaders say which replicas are busy, and with what."""
         for cell in self._cells:
-            cell.tell_load()
+            cell.publish_load()
         for number, front in enumerate(self._fronts):
             reachable = [
                 one for one in self._cells if not self._has_no_leader(one, number)
@@ -377,8 +379,8 @@
             self._call_at(self._now + HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
     def _reject(self, result: Result, retry_after: float, remaining: float) -> None:
-        result.refusals += 1
-        if result.refusals > self._scenario.retries:
+        result.rejections += 1
+        if result.rejections > self._scenario.retries:
             return
         delay = min(retry_after, remaining / 3.0) + 2 * HOP_TIME_S
         self._call_at(self._now + delay, lambda: self._arrive(result))
@@ -395,20 +397,20 @@
         seconds = compute_prefill_time(self._profile, arrival.prompt) / width
         for engine in job.engines:
             tokens = arrival.prompt // width
-            reading = Reading(number, seconds, tokens, is_joint=width > 1)
-            self._engines[engine].add(reading, is_first=engine == job.engines[0])
+            reading = PrefillWork(number, seconds, tokens, is_grouped=width > 1)
+            self._engines[engine].add_prefill(reading, is_lead=engine == job.engines[0])
             self._start_batch_step(engine)
 
     def _end_at_deadline(self, number: int) -> None:
         job = self._jobs[number]
         if not job.has_ended:
-            job.result.held += self._now - job.placed_at
+            job.result.wasted_wait_s += self._now - job.placed_at
             self._end_job(number)
 
     def _disconnect_caller(self, result: Result) -> None:
         if result.first_event is not None:
             return
-        result.has_left = True
+        result.has_disconnected = True
         for number, job in list(self._jobs.items()):
             if job.result is result and not job.has_ended:
                 self._end_job(number)
@@ -417,7 +419,7 @@
         job = self._jobs[number]
         job.has_ended = True
         for engine in job.engines:
-            self._engines[engine].drop(number)
+            self._engines[engine].cancel(number)
         self._report_stage(job, is_ended=True)
 
     def _report_stage(self, job: _Job, *, is_ended: bool) -> None:
@@ -436,7 +438,7 @@
         engine = self._engines[number]
         if not engine.is_idle:
             return
-        seconds = engine.begin_pass()
+        seconds = engine.begin_batch_step()
         if seconds is not None:
             started = engine.incarnation
             self._call_at(
@@ -447,12 +449,12 @@
         engine = self._engines[number]
         if engine.incarnation != incarnation:
             return
-        ended = engine.end_pass()
-        for job in ended.read:
+        ended = engine.end_batch_step()
+        for job in ended.prefilled:
             self._record_prefill(job, number)
-        for job in ended.written:
+        for job in ended.decoded:
             self._record_event(job)
-            if not engine.is_writing(job):
+            if not engine.is_decoding(job):
                 self._complete(job)
         self._start_batch_step(number)
 
@@ -469,7 +471,7 @@
                 events_left -= 1
                 self._record_event(number)
             first = self._engines[job.engines[0]]
-            first.write(Writing(number, arrival.prompt, events_left))
+            first.start_decoding(DecodeWork(number, arrival.prompt, events_left))
             self._start_batch_step(job.engines[0])
 
     def _record_event(self, number: int) -> None:
@@ -490,7 +492,7 @@
     def _complete(self, number: int) -> None:
         job = self._jobs[number]
         job.has_ended = True
-        job.result.is_whole = True
+        job.result.is_complete = True
         self._report_stage(job, is_ended=True)
 
     def _crash_engines(self, count: int, back_after: float) -> None:
--- a/src/scalebend/measuring/placement_scenario.py
+++ b/src/scalebend/measuring/placement_scenario.py
@@ -49,15 +49,15 @@
     spread: float
     """Standard deviation of the logarithm."""
 
-    most: float
+    maximum: float = msgspec.field(name="most")
 
     def draw(self, rng: random.Random) -> float:
         """One size."""
         centre = math.log(self.mean) - self.spread**2 / 2.0
-        return min(self.most, rng.lognormvariate(centre, self.spread))
+        return min(self.maximum, rng.lognormvariate(centre, self.spread))
 
 
-class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A kind of request."""
 
     name: str
@@ -96,7 +96,7 @@
     """How many cells lose theirs; all by default."""
 
 
-class FrontsCut(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class FrontPartition(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A time in which the first ``count`` fronts reach engines, but not the leader."""
 
     at: float
@@ -104,7 +104,7 @@
     count: int
 
 
-class RestartOfAll(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class FullRestart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All fronts and the leader end at once; callers lose what is open, and what they
     send until the processes are back."""
 
@@ -122,21 +122,23 @@
 
     name: str
     engines: Engines
-    kinds: list[Kind]
+    kinds: list[RequestKind]
     length: float
     fronts: int
     phases: list[Phase] = msgspec.field(default_factory=list)
     engine_losses: list[EngineLoss] = msgspec.field(default_factory=list)
     leader_losses: list[LeaderLoss] = msgspec.field(default_factory=list)
-    fronts_cut: list[FrontsCut] = msgspec.field(default_factory=list)
-    restarts: list[RestartOfAll] = msgspec.field(default_factory=list)
+    front_partitions: list[FrontPartition] = msgspec.field(
+        name="fronts_cut", default_factory=list
+    )
+    restarts: list[FullRestart] = msgspec.field(default_factory=list)
     cells: int = 1
     """Parts of the fleet, each with a leader of its own."""
 
     choice_time: float = 0.0
     """Seconds that the leader takes for each choice, one after the other."""
 
-    leaves_early: float = 0.0
+    disconnect_share: float = msgspec.field(name="leaves_early", default=0.0)
     """Part of the callers that leave while they wait for the first event."""
 
     retries: int = 1
@@ -148,11 +150,11 @@
 
     number: int
     at: float
-    kind: Kind
+    kind: RequestKind
     prompt: int
     events: int
     front: int
-    leaves_after: float | None
+    disconnects_after: float | None
 
     @property
     def size_factor(self) -> float:
@@ -163,7 +165,7 @@
 def plan_arrivals(scenario: PlacementScenario, seed: int) -> list[Arrival]:
     """Draw all arrivals; the same for every decider."""
     rng = random.Random(seed)
-    drawn: list[tuple[float, Kind]] = []
+    drawn: list[tuple[float, RequestKind]] = []
     for kind in scenario.kinds:
         at = 0.0
         while True:
@@ -181,21 +183,21 @@
             prompt=max(50, round(kind.prompt.draw(rng))),
             events=max(2, round(kind.events.draw(rng))),
             front=rng.randrange(scenario.fronts),
-            leaves_after=_draw_disconnect(scenario, kind, rng),
+            disconnects_after=_draw_disconnect(scenario, kind, rng),
         )
         for number, (at, kind) in enumerate(drawn)
     ]
 
 
 def _draw_disconnect(
-    scenario: PlacementScenario, kind: Kind, rng: random.Random
+    scenario: PlacementScenario, kind: RequestKind, rng: random.Random
 ) -> float | None:
-    if rng.random() >= scenario.leaves_early:
+    if rng.random() >= scenario.disconnect_share:
         return None
     return rng.uniform(0.2, 0.9) * kind.target
 
 
-def _find_factor(scenario: PlacementScenario, kind: Kind, at: float) -> float:
+def _find_factor(scenario: PlacementScenario, kind: RequestKind, at: float) -> float:
     for phase in scenario.phases:
         if phase.start <= at < phase.start + phase.length:
             return phase.factors.get(kind.name, 1.0)
--- a/src/scalebend/measuring/placement_table.py
+++ b/src/scalebend/measuring/placement_table.py
@@ -47,7 +47,7 @@
     error = 0.0
     if len(worths) > 1:
         error = Z_SCORE_95 * statistics.stdev(worths) / math.sqrt(len(worths))
-    counted = [result for run in runs for result in run if not result.has_left]
+    counted = [result for run in runs for result in run if not result.has_disconnected]
     names = dict.fromkeys(result.arrival.kind.name for result in counted)
     return DeciderFigures(
         decider=decider.value,
@@ -65,8 +65,8 @@
         kind=name,
         requests=len(of_kind),
         worth=_compute_worth_share(of_kind),
-        in_time=statistics.fmean(result.is_in_time for result in of_kind),
-        refused=sum(result.refusals > 0 for result in of_kind),
+        in_time=statistics.fmean(result.is_on_time for result in of_kind),
+        refused=sum(result.rejections > 0 for result in of_kind),
         first_event_p50=read_quantile(firsts, 0.5),
         first_event_p95=read_quantile(firsts, 0.95),
     )
@@ -77,7 +77,7 @@
     owed = 0.0
     earned = 0.0
     for result in results:
-        if not result.has_left:
+        if not result.has_disconnected:
             owed += result.arrival.kind.worth * result.arrival.size_factor
             earned += result.compute_worth()
     return earned / owed if owed else 1.0
--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -69,9 +69,9 @@
     wrong_not_run: int
     run_twice: int
     wrong_answers: int
-    late_to_leaving: int
+    late_starts_on_draining: int = msgspec.field(name="late_to_leaving")
 
-    def count_broken(self) -> int:
+    def count_broken_promises(self) -> int:
         """How often a promise was broken."""
         return (
             self.past_time_limit
@@ -80,7 +80,7 @@
             + self.wrong_not_run
             + self.run_twice
             + self.wrong_answers
-            + self.late_to_leaving
+            + self.late_starts_on_draining
         )
 
 
@@ -92,7 +92,9 @@
 
 
 @functools.lru_cache(maxsize=100_000)
-def compute_idle(tokens: int, output: int, parameters: EngineParameters) -> IdleTimes:
+def compute_idle_times(
+    tokens: int, output: int, parameters: EngineParameters
+) -> IdleTimes:
     """Run one request alone on as few engines as hold it."""
     speed = 1
     while divide_up(tokens + output, speed) > parameters.memory_tokens:
@@ -156,7 +158,7 @@
         sum(o.ran == "no" and o.starts > 0 for o in result.outcomes),
         result.run_twice,
         sum(_has_wrong_output(outcome) for outcome in result.outcomes),
-        result.late_to_leaving,
+        result.late_starts_on_draining,
     )
 
 
@@ -190,7 +192,9 @@
     slowdowns = []
     for outcome in completed:
         planned = outcome.planned
-        idle = compute_idle(planned.prompt_tokens, planned.output_tokens, parameters)
+        idle = compute_idle_times(
+            planned.prompt_tokens, planned.output_tokens, parameters
+        )
         assert outcome.first_token is not None and outcome.ended is not None
         first_tokens.append(outcome.first_token - planned.at + NETWORK_TIME_S / 2)
         idle_first_tokens.append(idle.first_token)
--- a/src/scalebend/measuring/scenario.py
+++ b/src/scalebend/measuring/scenario.py
@@ -33,7 +33,7 @@
     CANCELLATIONS_LOST = "cancellations-lost"
     LINKS_LOST = "links-lost"
     MESSAGES_LOST = "messages-lost"
-    ENGINE_LEAVES = "engine-leaves"
+    ENGINE_DRAINS = "engine-leaves"
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/tests/unit/gateway/test_placement_under_load.py
+++ b/tests/unit/gateway/test_placement_under_load.py
@@ -120,12 +120,12 @@
     (restart,) = scenario.restarts
     ready_at = restart.at + restart.length + restart.ready_within
     on_time = [
-        result.is_in_time
+        result.is_on_time
         for result in results
         if result.arrival.kind.name == "quick"
         and ready_at <= result.arrival.at < ready_at + 2.0
     ]
-    return run.choices_alone / run.choices, sum(on_time) / len(on_time)
+    return run.uncoordinated_choices / run.choices, sum(on_time) / len(on_time)
 
 
 def test_fronts_place_uncoordinated_if_the_leader_is_slow():
@@ -149,8 +149,8 @@
     )
     run = PlacementRun(scenario, Decider.LEADER, 1)
     results = run.run()
-    assert all(result.is_whole for result in results)
-    assert (run.choices_alone > 0) == (lost is None)
+    assert all(result.is_complete for result in results)
+    assert (run.uncoordinated_choices > 0) == (lost is None)
 
 
 @pytest.mark.parametrize("name", ["mix-flips", "engines-lost", "fronts-cut"])
@@ -159,7 +159,12 @@
     results = PlacementRun(scenario, Decider.LEADER, 1).run()
     assert len(results) == len(plan_arrivals(scenario, 1))
     for result in results:
-        assert result.is_whole or result.refusals or result.held or result.has_left
+        assert (
+            result.is_complete
+            or result.rejections
+            or result.wasted_wait_s
+            or result.has_disconnected
+        )
 
 
 def test_same_seed_gives_the_same_results():
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -32,17 +32,17 @@
     ("changes", "reason"),
     [
         ({}, None),
-        ({"has_left": True}, Reason.CALLER_LEFT),
-        ({"status": None}, Reason.CALLER_LEFT),
+        ({"has_disconnected": True}, Reason.CALLER_DISCONNECTED),
+        ({"status": None}, Reason.CALLER_DISCONNECTED),
         ({"status": 503, "kind": "not-ready"}, Reason.NOT_READY),
-        ({"status": 503, "kind": "no-upstream"}, Reason.REFUSED),
+        ({"status": 503, "kind": "no-upstream"}, Reason.REJECTED),
         (
             {"status": 503, "kind": "overloaded", "outcomes": ["rejected"]},
-            Reason.TURNED_AWAY,
+            Reason.REJECTED_BY_REPLICAS,
         ),
         (
-            {"status": 503, "kind": "no-upstream", "met_pause": True},
-            Reason.ALL_CLOSED,
+            {"status": 503, "kind": "no-upstream", "met_backoff": True},
+            Reason.ALL_IN_BACKOFF,
         ),
         ({"status": 504, "kind": "time-limit"}, Reason.TIMED_OUT),
         ({"status": 502, "outcomes": ["broken"]}, Reason.REPLICA_FAILED),
@@ -50,9 +50,9 @@
         ({"first_event": 0.5, "outcomes": ["silent"]}, Reason.REPLICA_LOST),
         ({"first_event": 0.5, "predicted": 0.2, "had_leader": False}, Reason.NO_LEADER),
         ({"first_event": 0.5, "predicted": 0.2}, Reason.REPLICA_SLOW),
-        ({"first_event": 0.5, "predicted": 0.5, "start_in": 0.3}, Reason.WAITED),
+        ({"first_event": 0.5, "predicted": 0.5, "start_in": 0.3}, Reason.QUEUED),
         ({"first_event": 0.5, "predicted": 0.5}, Reason.LATE),
-        ({"longest_gap": 0.4}, Reason.PAUSE),
+        ({"longest_gap": 0.4}, Reason.STALLED),
         ({"longest_gap": 0.4, "outcomes": ["broken"]}, Reason.REPLICA_LOST),
         ({"first_event": None, "elapsed": 0.4}, Reason.REPLICA_SLOW),
     ],
@@ -87,9 +87,9 @@
     assert sum(window.lost for window in ledger.windows) == ledger.lost
     assert sum(window.requests for window in ledger.windows) == ledger.requests
     assert {row.reason for row in ledger.rows} == {
-        Reason.WAITED.value,
+        Reason.QUEUED.value,
         Reason.NOT_READY.value,
-        Reason.CALLER_LEFT.value,
+        Reason.CALLER_DISCONNECTED.value,
     }
 
 
@@ -116,7 +116,7 @@
     assert explain_losses.run(logs=[log], window=2.0, as_json=False) == 0
     printed = capsys.readouterr().out
     assert "2 requests, 1 not served in time" in printed
-    assert Reason.PAUSE.value in printed
+    assert Reason.STALLED.value in printed
     assert explain_losses.run(logs=[tmp_path / "none"], window=2.0, as_json=True) == 2
     assert "none" in capsys.readouterr().err
 
--- a/tests/unit/test_measure_placement.py
+++ b/tests/unit/test_measure_placement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from scalebend.commands import measure_placement
-from scalebend.measuring.engine_passes import PassEngine, Reading, Writing
+from scalebend.measuring.batch_engine import BatchEngine, DecodeWork, PrefillWork
 from scalebend.measuring.placement_results import Decider, Result
 from scalebend.measuring.placement_run import PlacementRun
 from scalebend.measuring.placement_scenario import PlacementScenario, plan_arrivals
@@ -52,47 +52,49 @@
 
 
 def test_pass_reads_what_waits_and_plays_its_steps():
-    engine = PassEngine(SCENARIO.engines)
-    assert engine.begin_pass() is None
-    engine.add(Reading(1, 0.1, 15_000, is_joint=False), is_first=True)
-    assert engine.begin_pass() == pytest.approx(0.1)
-    assert engine.end_pass().read == [1]
-    engine.write(Writing(1, 15_000, 2))
-    engine.add(Reading(2, 0.2, 30_000, is_joint=True), is_first=False)
+    engine = BatchEngine(SCENARIO.engines)
+    assert engine.begin_batch_step() is None
+    engine.add_prefill(PrefillWork(1, 0.1, 15_000, is_grouped=False), is_lead=True)
+    assert engine.begin_batch_step() == pytest.approx(0.1)
+    assert engine.end_batch_step().prefilled == [1]
+    engine.start_decoding(DecodeWork(1, 15_000, 2))
+    engine.add_prefill(PrefillWork(2, 0.2, 30_000, is_grouped=True), is_lead=False)
     # 34 steps of 1.31 ms and a little for the context, and the part of the other.
-    assert engine.begin_pass() == pytest.approx(0.2 + 34 * 1.343e-3, rel=0.01)
-    ended = engine.end_pass()
-    assert (ended.read, ended.written) == ([2], [1])
+    assert engine.begin_batch_step() == pytest.approx(0.2 + 34 * 1.343e-3, rel=0.01)
+    ended = engine.end_batch_step()
+    assert (ended.prefilled, ended.decoded) == ([2], [1])
 
 
 def test_newest_part_is_read_first_and_a_long_one_over_several_passes():
-    engine = PassEngine(SCENARIO.engines)
+    engine = BatchEngine(SCENARIO.engines)
     for job in (1, 2):
-        reading = Reading(job, 0.4, 60_000, is_joint=True)
-        engine.add(reading, is_first=False)
-    engine.begin_pass()
-    assert engine.end_pass().read == [2]
-    engine.begin_pass()
-    assert engine.end_pass().read == [1]
+        reading = PrefillWork(job, 0.4, 60_000, is_grouped=True)
+        engine.add_prefill(reading, is_lead=False)
+    engine.begin_batch_step()
+    assert engine.end_batch_step().prefilled == [2]
+    engine.begin_batch_step()
+    assert engine.end_batch_step().prefilled == [1]
 
 
 def test_request_beyond_the_slots_waits_for_a_place():
-    engine = PassEngine(SCENARIO.engines)
+    engine = BatchEngine(SCENARIO.engines)
     for job in range(SCENARIO.engines.slots + 1):
-        engine.add(Reading(job, 0.01, 1_000, is_joint=False), is_first=True)
-    engine.begin_pass()
-    assert len(engine.end_pass().read) == SCENARIO.engines.slots
-    engine.drop(0)
-    engine.begin_pass()
-    assert engine.end_pass().read == [SCENARIO.engines.slots]
+        engine.add_prefill(
+            PrefillWork(job, 0.01, 1_000, is_grouped=False), is_lead=True
+        )
+    engine.begin_batch_step()
+    assert len(engine.end_batch_step().prefilled) == SCENARIO.engines.slots
+    engine.cancel(0)
+    engine.begin_batch_step()
+    assert engine.end_batch_step().prefilled == [SCENARIO.engines.slots]
 
 
 def test_crash_loses_what_is_open():
-    engine = PassEngine(SCENARIO.engines)
-    engine.add(Reading(1, 0.1, 1_000, is_joint=False), is_first=True)
-    engine.begin_pass()
-    engine.add(Reading(2, 0.1, 1_000, is_joint=False), is_first=True)
-    engine.write(Writing(3, 1_000, 5))
+    engine = BatchEngine(SCENARIO.engines)
+    engine.add_prefill(PrefillWork(1, 0.1, 1_000, is_grouped=False), is_lead=True)
+    engine.begin_batch_step()
+    engine.add_prefill(PrefillWork(2, 0.1, 1_000, is_grouped=False), is_lead=True)
+    engine.start_decoding(DecodeWork(3, 1_000, 5))
     assert engine.crash() == {1, 2, 3}
     assert engine.is_idle
     assert engine.open_jobs == 0
@@ -106,16 +108,20 @@
     def worth(**fields):
         return Result(arrival, **fields).compute_worth() / full
 
-    in_time = {"first_event": kind.target, "is_whole": True}
+    in_time = {"first_event": kind.target, "is_complete": True}
     assert worth(**in_time) == 1.0
-    late = {"first_event": kind.target + 0.1, "is_whole": True}
+    late = {"first_event": kind.target + 0.1, "is_complete": True}
     assert worth(**late) == pytest.approx(kind.late_worth / kind.worth)
     assert worth(**in_time, longest_gap=kind.event_gap + 0.1) < 1.0
-    assert worth(refusals=1) == 0.0
-    assert worth(refusals=2) == pytest.approx(-0.3)
-    assert worth(held=kind.target / 8) == 0.0
-    assert worth(held=1.0) > worth(held=5.0) > worth(held=kind.deadline)
-    assert worth(held=kind.deadline) == pytest.approx(-1.0)
+    assert worth(rejections=1) == 0.0
+    assert worth(rejections=2) == pytest.approx(-0.3)
+    assert worth(wasted_wait_s=kind.target / 8) == 0.0
+    assert (
+        worth(wasted_wait_s=1.0)
+        > worth(wasted_wait_s=5.0)
+        > worth(wasted_wait_s=kind.deadline)
+    )
+    assert worth(wasted_wait_s=kind.deadline) == pytest.approx(-1.0)
 
 
 def test_nobody_is_placed_better_than_alone_on_an_idle_fleet():
--- a/tests/unit/test_measuring.py
+++ b/tests/unit/test_measuring.py
@@ -7,7 +7,7 @@
 from scalebend.commands import measure
 from scalebend.core.owner import ReplicaOwner
 from scalebend.measuring.harness import Harness
-from scalebend.measuring.results import build_figures, compute_idle
+from scalebend.measuring.results import build_figures, compute_idle_times
 from scalebend.measuring.scenario import (
     Fault,
     FaultKind,
@@ -52,7 +52,7 @@
 def test_no_promise_is_broken_under_all_faults_at_once(policy):
     for figures in (run(3, policy), run(3)):
         assert figures.requests > 20
-        assert figures.count_broken() == 0
+        assert figures.count_broken_promises() == 0
 
 
 def test_measurement_sees_an_overfilled_engine(monkeypatch):
@@ -75,10 +75,10 @@
 
 def test_idle_time_follows_the_engine_model():
     parameters = EngineParameters()
-    idle = compute_idle(2_048, 1, parameters)
+    idle = compute_idle_times(2_048, 1, parameters)
     chunks = 2_048 / parameters.prefill_rate + 2 * 0.002
     assert idle.first_token == pytest.approx(chunks + 0.004)
-    assert compute_idle(2_048, 101, parameters).duration == pytest.approx(
+    assert compute_idle_times(2_048, 101, parameters).duration == pytest.approx(
         idle.first_token + 100 * 0.0201
     )
 
