--- a/src/scalebend/measuring/__init__.py
+++ b/src/scalebend/measuring/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the core in virtual time, with small stand-ins at its interfaces."""
+"""Measurements of the core in simulated time, with simple engine models."""
--- a/src/scalebend/measuring/batch_engine.py
+++ b/src/scalebend/measuring/batch_engine.py
@@ -1,8 +1,8 @@
-"""An engine that works in passes, in virtual time.
+"""Model of an engine that runs batch steps, in simulated time.
 
-A pass reads what waits, up to a number of tokens, and plays a fixed number of steps for
-whoever writes; their events come at its end. A part of a prompt that is read together
-with others goes ahead of ordinary reading, the newest first.
+A batch step prefills queued prompts up to a number of tokens and decodes a fixed number
+of tokens for each running request, whose events arrive at its end. A part of a prompt
+that a prefill group shares takes precedence over whole prompts, the newest first.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class PrefillWork(msgspec.Struct):
-    """A prompt, or a part of one, that an engine reads."""
+    """A prompt, or a part of one, that waits for prefill on an engine."""
 
     job: int
     seconds: float
@@ -23,7 +23,7 @@
 
 
 class DecodeWork(msgspec.Struct):
-    """An answer that an engine writes."""
+    """A response that an engine decodes."""
 
     job: int
     context: int
@@ -31,14 +31,14 @@
 
 
 class BatchStepResult(msgspec.Struct, frozen=True):
-    """What a pass brought: prompts read, and events written, by job."""
+    """Jobs whose prefill a batch step completed, and jobs that got an event."""
 
     prefilled: list[int]
     decoded: list[int]
 
 
 class BatchEngine:
-    """One engine."""
+    """One engine; the caller advances it batch step by batch step."""
 
     def __init__(self, engines: Engines) -> None:
         self._profile = engines.build_profile()
@@ -54,16 +54,16 @@
 
     @property
     def open_jobs(self) -> int:
-        """Requests that run or wait here as the first engine."""
+        """Number of running and queued requests whose lead replica this is."""
         return len(self._lead_jobs) + len(self._queued)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no pass is under way."""
+        """Whether no batch step is running."""
         return self._current_step is None
 
     def add_prefill(self, prefill: PrefillWork, *, is_lead: bool) -> None:
-        """A prompt or part arrived."""
+        """Add a prompt or a part of one; it is queued while all slots are taken."""
         if is_lead and len(self._lead_jobs) >= self._slots:
             self._queued.append(prefill)
             return
@@ -72,69 +72,71 @@
         (self._grouped if prefill.is_grouped else self._ordinary).append(prefill)
 
     def start_decoding(self, decode: DecodeWork) -> None:
-        """The whole prompt was read: answer from the next pass on."""
+        """Decode from the next batch step on; the whole prompt was prefilled."""
         self._decoding[decode.job] = decode
 
     def is_decoding(self, job: int) -> bool:
-        """Whether more events of a request are to come."""
+        """Whether more events of a request will follow."""
         return job in self._decoding
 
     def cancel(self, job: int) -> None:
-        """A request was cancelled."""
+        """Remove the work of a cancelled request."""
         for queue in (self._grouped, self._ordinary, self._queued):
             queue[:] = [prefill for prefill in queue if prefill.job != job]
         self._decoding.pop(job, None)
         self._release_slot(job)
 
     def crash(self) -> set[int]:
-        """Everything here is lost; return the jobs that had a part of it."""
+        """Lose all work and return the jobs that had some here."""
         prefills = (*self._grouped, *self._ordinary, *self._queued)
-        lost = {prefill.job for prefill in prefills} | set(self._decoding)
+        affected = {prefill.job for prefill in prefills} | set(self._decoding)
         if self._current_step is not None:
-            lost |= {prefill.job for prefill in self._current_step}
+            affected |= {prefill.job for prefill in self._current_step}
         self._grouped, self._ordinary, self._queued = [], [], []
         self._decoding, self._lead_jobs, self._current_step = {}, set(), None
         self.incarnation += 1
-        return lost
+        return affected
 
     def begin_batch_step(self) -> float | None:
-        """Seconds that the next pass takes; ``None`` when there is nothing to do."""
-        chosen = self._take_prefills()
-        if not chosen and not self._decoding:
+        """Begin a batch step and return its seconds; ``None`` if there is no work."""
+        selected = self._take_prefills()
+        if not selected and not self._decoding:
             return None
-        self._current_step = chosen
+        self._current_step = selected
         contexts = [decode.context for decode in self._decoding.values()]
         steps = compute_batch_step_time(self._profile, contexts)
-        return steps + sum(prefill.seconds for prefill in chosen)
+        return steps + sum(prefill.seconds for prefill in selected)
 
     def _take_prefills(self) -> list[PrefillWork]:
-        """Take from the queues what one pass reads; a rest stays there."""
-        left = self._max_prefill_tokens
-        chosen = []
-        while left > 0 and (self._grouped or self._ordinary):
+        """Take the prefill of one batch step from the queues and leave the rest."""
+        tokens_left = self._max_prefill_tokens
+        selected = []
+        while tokens_left > 0 and (self._grouped or self._ordinary):
             queue, position = (
                 (self._grouped, -1) if self._grouped else (self._ordinary, 0)
             )
             prefill = queue.pop(position)
-            if prefill.tokens <= left:
-                left -= prefill.tokens
-                chosen.append(prefill)
+            if prefill.tokens <= tokens_left:
+                tokens_left -= prefill.tokens
+                selected.append(prefill)
                 continue
-            part = left / prefill.tokens
-            seconds = prefill.seconds * part
-            rest = PrefillWork(
+            share = tokens_left / prefill.tokens
+            seconds = prefill.seconds * share
+            remainder = PrefillWork(
                 prefill.job,
                 prefill.seconds - seconds,
-                prefill.tokens - left,
+                prefill.tokens - tokens_left,
                 prefill.is_grouped,
             )
-            queue.insert(len(queue) if queue is self._grouped else 0, rest)
-            chosen.append(PrefillWork(prefill.job, seconds, left, prefill.is_grouped))
-            left = 0
-        return chosen
+            queue.insert(len(queue) if queue is self._grouped else 0, remainder)
+            selected.append(
+                PrefillWork(prefill.job, seconds, tokens_left, prefill.is_grouped)
+            )
+            tokens_left = 0
+        return selected
 
     def end_batch_step(self) -> BatchStepResult:
-        """The pass is over."""
+        """End the running batch step and return what it completed."""
         assert self._current_step is not None
         unfinished = {one.job for one in (*self._grouped, *self._ordinary)}
         prefilled = [one.job for one in self._current_step if one.job not in unfinished]
--- a/src/scalebend/measuring/changes.py
+++ b/src/scalebend/measuring/changes.py
@@ -1,4 +1,4 @@
-"""How fast changes spread, how long there is no leader, and recovery from disk."""
+"""Measures change propagation, time without a leader, and recovery from disk."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class PropagationFigures(msgspec.Struct, frozen=True):
-    """Seconds in virtual time."""
+    """Times from a change or a leader crash, in simulated seconds."""
 
     instances: int
     in_force_p50: float
@@ -40,7 +40,7 @@
 
 
 class RecoveryFigures(msgspec.Struct, frozen=True):
-    """Real time of one member on this disk."""
+    """Times of one control member on the local disk, in seconds of real time."""
 
     changes: int
     write_seconds: float
@@ -50,7 +50,7 @@
 
 
 def measure_change_propagation(instances: int) -> PropagationFigures:
-    """Apply changes at changing instances; then lose the leader again and again."""
+    """Apply changes at all instances in turn, then crash leaders of new clusters."""
     scenario = Scenario(
         "changes",
         [LoadCustomer(CustomerId("c"))],
@@ -60,18 +60,18 @@
     )
     harness = Harness(scenario, "split-fair", 1)
     harness.run_until(START_TIME_S + 4.0)
-    spread = [_measure_change(harness, number) for number in range(CHANGE_COUNT)]
-    gaps = []
+    delays = [_measure_change(harness, number) for number in range(CHANGE_COUNT)]
+    times_without_leader = []
     for seed in range(LEADER_CRASH_COUNT):
-        lost = Harness(scenario, "split-fair", seed)
-        lost.run_until(START_TIME_S + 2.0 + seed * 0.03)
-        gaps.append(_measure_time_without_leader(lost))
+        crashing = Harness(scenario, "split-fair", seed)
+        crashing.run_until(START_TIME_S + 2.0 + seed * 0.03)
+        times_without_leader.append(_measure_time_without_leader(crashing))
     return PropagationFigures(
         instances,
-        read_quantile(spread, 0.5),
-        read_quantile(spread, 0.99),
-        read_quantile(gaps, 0.5),
-        max(gaps),
+        read_quantile(delays, 0.5),
+        read_quantile(delays, 0.99),
+        read_quantile(times_without_leader, 0.5),
+        max(times_without_leader),
     )
 
 
@@ -94,19 +94,19 @@
         if min(versions) > version:
             break
     start = accepted if accepted is not None else deadline
-    spread = harness.now - start
+    delay = harness.now - start
     harness.run_until(harness.now + CHANGE_INTERVAL_S)
-    return spread
+    return delay
 
 
 def _measure_time_without_leader(harness: Harness) -> float:
     leader = _find_leader(harness)
     assert leader is not None
     harness.crash_instance(leader)
-    lost = harness.now
-    while _find_leader(harness) is None and harness.now < lost + MAX_WAIT_S:
+    crashed_at = harness.now
+    while _find_leader(harness) is None and harness.now < crashed_at + MAX_WAIT_S:
         harness.run_until(harness.now + STEP_S)
-    return harness.now - lost
+    return harness.now - crashed_at
 
 
 def _find_leader(harness: Harness) -> InstanceId | None:
@@ -117,7 +117,7 @@
 
 
 def measure_recovery(folder: Path, changes: int) -> RecoveryFigures:
-    """Write changes through a real journal, one synced write each; read it back."""
+    """Write changes to a journal on disk, one synced write each, and recover them."""
     with open_journal(folder) as (journal, recovered):
         member = _build_member(recovered)
         _run_until_elected(member, journal)
--- a/src/scalebend/measuring/control_cost.py
+++ b/src/scalebend/measuring/control_cost.py
@@ -1,8 +1,9 @@
-"""What control costs an instance, by the number of instances: the core alone.
+"""Measures the cost of the control plane for one instance, by cluster size.
 
-Instances' cores run in virtual time with announcing engines and active customers but
-no requests. Messages and datagrams are encoded and counted; what a socket costs is
-measured apart, on loopback, and multiplied in the report.
+The cores of all instances run in simulated time with engines that send announcements
+and active customers, but without requests. Messages and datagrams are encoded and
+counted. The cost of a socket is measured separately, on loopback; the report multiplies
+it by these counts.
 """
 
 from __future__ import annotations
@@ -33,13 +34,18 @@
 MESSAGE_COUNT = 2_000
 PAGE_BYTES = 4_096
 ACTIVE_SHARE = 0.05
-"""Part of the customers that are active at one instance."""
+"""Share of the customers that are active at one instance."""
 
 _ENCODE = msgspec.msgpack.Encoder().encode
 
 
 class ControlCost(msgspec.Struct, frozen=True):
-    """Per instance: rates a second; ``processor`` in seconds a second."""
+    """Cost of one instance.
+
+    Datagrams, messages and their bytes are rates per second; ``processor`` is in
+    seconds per second, ``memory`` in MiB. ``live_seen`` is the mean number of live
+    instances that an instance knows.
+    """
 
     instances: int
     upstreams: int
@@ -61,7 +67,7 @@
 
 
 class _CountingHarness(Harness):
-    """Counts what instances send."""
+    """Counts the datagrams and messages that instances send."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.datagrams = 0
@@ -85,7 +91,7 @@
         super().send_message(name, to, message)
 
     def charge_active_customers(self) -> None:
-        """Let a part of the customers use the fleet at each instance."""
+        """Record usage of some customers at each instance."""
         customers = [customer.customer for customer in self.scenario.customers]
         count = max(1, int(len(customers) * ACTIVE_SHARE))
         for number, instance in enumerate(self.list_instances()):
@@ -94,8 +100,8 @@
                 instance.owners.shares.charge(customer, 1.0, self.now)
 
     def reset_counts(self) -> None:
-        """Count from here."""
-        # The news of a whole system that starts at once are not the usual state.
+        """Reset the counts and drop queued rumors."""
+        # The rumors of a cluster that starts all at once are not the steady state.
         for instance in self.list_instances():
             instance.membership.rumors = RumorQueue()
         self.datagrams = self.datagram_bytes = 0
@@ -103,7 +109,7 @@
 
 
 def measure_control_cost(instances: int, upstreams: int, customers: int) -> ControlCost:
-    """Run the cores of a whole system for some virtual seconds."""
+    """Run the cores of all instances for some simulated seconds."""
     scenario = Scenario(
         "control",
         [LoadCustomer(CustomerId(f"c{n}")) for n in range(customers)],
@@ -192,7 +198,7 @@
         started = time.process_time()
         for number in range(MESSAGE_COUNT):
             sender.send(two, addresses[1], FetchCatalog())
-            # One frame for each message: the dearest case.
+            # One frame for each message is the most expensive case.
             await _wait_until(lambda number=number: len(received) >= number + 2)  # type: ignore[misc]
         return (time.process_time() - started) / MESSAGE_COUNT
 
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -1,7 +1,7 @@
-"""Drive real instances' cores against stand-in engines in virtual time.
+"""Runs the cores of instances against modelled engines in simulated time.
 
-Stand-ins for the interfaces, not a simulator of a cluster: messages take a fixed
-time, engines follow ``standins.engine_model``, processing takes no time. The same
+Only the interfaces of the core are modelled, not a whole cluster: messages take a fixed
+time, engines follow ``standins.engine_model`` and processing takes no time. The same
 scenario, policy and seed give the same result.
 """
 
@@ -78,10 +78,10 @@
 TICK_INTERVAL_S = 0.05
 ANNOUNCE_INTERVAL_S = 0.5
 START_TIME_S = 4.0
-"""Virtual seconds for elections and announcements before the load begins."""
+"""Simulated time for elections and announcements before the load begins."""
 
 TAIL_TIME_S = 10.0
-"""Seconds after the last request at which no memory may be held."""
+"""Time after the last request by which all memory must be released."""
 
 SERVICE_TIME_S = 0.02
 
@@ -98,7 +98,7 @@
 
 
 class _RunningAttempt(msgspec.Struct):
-    """One attempt on its way through an upstream."""
+    """One attempt that an upstream executes."""
 
     attempt: AttemptId
     request: RequestId
@@ -109,7 +109,7 @@
 
 
 class Harness:
-    """One run of a scenario."""
+    """One run of a scenario with one policy and one seed."""
 
     def __init__(self, scenario: Scenario, policy: str, seed: int) -> None:
         self.scenario = scenario
@@ -137,31 +137,31 @@
         self._build_fleet(seed)
 
     def list_instances(self) -> list[Instance]:
-        """Instances that are up."""
+        """Return the instances that run."""
         return list(self._instances.values())
 
     def propose(self, instance: Instance, command: Command) -> None:
-        """Propose a command at an instance."""
+        """Propose a command to the control group through an instance."""
         _, actions = instance.propose(command, 5.0, self.now, self.now)
         self._execute(instance.me, actions)
         self._run_control(instance.me)
 
-    # Virtual time
+    # Simulated time
 
     def call_at(self, at: float, work: Callable[[], None]) -> None:
-        """Run ``work`` at a virtual time."""
+        """Schedule ``work`` for a simulated time in seconds."""
         self._event_count += 1
         heapq.heappush(self._events, (max(at, self.now), self._event_count, work))
 
     def run_until(self, end: float) -> None:
-        """Run events up to ``end``."""
+        """Run scheduled events up to ``end``."""
         while self._events and self._events[0][0] <= end:
             self.now, _, work = heapq.heappop(self._events)
             work()
         self.now = end
 
     def run(self, planned: list[PlannedRequest]) -> RunResult:
-        """Run the load to its end."""
+        """Run the planned requests and the faults to the end; return the outcomes."""
         self.run_until(START_TIME_S)
         for request in planned:
             self.call_at(START_TIME_S + request.at, self._bind(self._send, request))
@@ -332,7 +332,7 @@
                 self._apply_claim_result(proposal, result)
 
     def send_datagram(self, name: InstanceId, address: str, datagram: Datagram) -> None:
-        """Deliver a datagram after the zones' delay."""
+        """Deliver a datagram after the delay between the availability zones."""
         to = self._by_gossip[address]
         delay = self._get_delay(self._zones[name], self._zones[to])
         work = self._bind(self._deliver_datagram, to, datagram)
@@ -341,7 +341,10 @@
     def send_message(
         self, name: InstanceId, to: InstanceId, message: PeerMessage
     ) -> None:
-        """Deliver a message after the zones' delay, unless messages are lost."""
+        """Deliver a message after the delay between the availability zones.
+
+        While a fault loses messages, some of them are dropped.
+        """
         if self._message_loss and self._random.random() < self._message_loss:
             return
         if to not in self._zones:
@@ -380,7 +383,7 @@
     def _send_order(self, number: int, at: float) -> None:
         name = self._random.choice(sorted(self._instances))
         customer = self.scenario.customers[0].customer
-        # Every third order is sent a second time, under the same key.
+        # Every third order repeats the previous one, with its idempotency key.
         key = f"order-{number - 1 if number % 3 == 0 else number}"
         request = Request(
             request=RequestId(f"o{number}"),
@@ -426,10 +429,10 @@
     # Claims
 
     def _propose_claim(self, name: InstanceId, request: RequestId) -> None:
-        known = self._requests[request]
-        assert known.idempotency_key is not None
+        stored = self._requests[request]
+        assert stored.idempotency_key is not None
         command = Claim(
-            known.customer, known.idempotency_key, known.fingerprint, request
+            stored.customer, stored.idempotency_key, stored.fingerprint, request
         )
         proposal, actions = self._instances[name].propose(
             command, 2.0, self.now, self.now
@@ -439,10 +442,10 @@
         self._run_control(name)
 
     def _apply_claim_result(self, proposal: str, result: object) -> None:
-        waiting = self._proposals.pop(proposal, None)
-        if waiting is None:
+        pending = self._proposals.pop(proposal, None)
+        if pending is None:
             return
-        name, request = waiting
+        name, request = pending
         error = None if isinstance(result, ClaimTaken) else ClaimError("claimed")
         if error is not None:
             error.ran = Ran.UNKNOWN
@@ -452,11 +455,11 @@
     def _settle_claim(
         self, name: InstanceId, request: RequestId, error: ScalebendError | None
     ) -> None:
-        known = self._requests[request]
-        if known.idempotency_key is None or error is not None:
+        stored = self._requests[request]
+        if stored.idempotency_key is None or error is not None:
             return
-        answer = StoredResponse(200, "application/json", b"{}")
-        command = Settle(known.customer, known.idempotency_key, request, answer)
+        response = StoredResponse(200, "application/json", b"{}")
+        command = Settle(stored.customer, stored.idempotency_key, request, response)
         _, actions = self._instances[name].propose(command, 10.0, self.now, self.now)
         self._execute(name, actions)
 
@@ -495,13 +498,13 @@
         if not all(engine.is_up for engine in group):
             self._report_result(run, NeverStarted("cannot connect"), 0.001)
             return
-        parts = len(group)
+        width = len(group)
         request = self._requests[start.request]
-        memory = divide_up(request.memory_tokens, parts)
+        memory = divide_up(request.memory_tokens, width)
         lead = group[0]
-        held = all(e.model.hold(start.attempt, memory) for e in group[1:])
+        is_reserved = all(e.model.hold(start.attempt, memory) for e in group[1:])
         sequence = None
-        if held:
+        if is_reserved:
             prefixes = build_prefixes(run.outcome.planned)
             sequence = lead.model.submit(
                 start.attempt,
@@ -510,16 +513,16 @@
                 priority=start.priority,
                 now=self.now,
                 prefixes=prefixes,
-                speed=parts,
+                speed=width,
                 is_prefill_only=start.phase is Phase.PREFILL,
             )
         if sequence is None:
-            refused = NeverStarted("refused", may_hold_memory=parts > 1)
-            self._report_result(run, refused, 0.001)
+            rejected = NeverStarted("refused", may_hold_memory=width > 1)
+            self._report_result(run, rejected, 0.001)
             return
         run.outcome.starts += 1
-        left_at = self._draining_since.get(lead.name)
-        if left_at is not None and self.now > left_at + 2.0:
+        draining_since = self._draining_since.get(lead.name)
+        if draining_since is not None and self.now > draining_since + 2.0:
             self._late_starts_on_draining += 1
         self._plan_steps(lead)
 
@@ -583,13 +586,13 @@
         if run is None:
             return
 
-        def tell() -> None:
+        def report() -> None:
             instance = self._instances.get(run.instance)
             if instance is not None and run.attempt in self._attempts:
                 actions = instance.handle_started(run.attempt, self.now)
                 self._execute(run.instance, actions)
 
-        self.call_at(self.now + 0.001, tell)
+        self.call_at(self.now + 0.001, report)
 
     def _report_result(
         self, run: _RunningAttempt, result: AttemptResult, delay: float
@@ -733,12 +736,12 @@
         engine.is_up = True
 
     def crash_instance(self, name: InstanceId) -> None:
-        """End an instance without warning."""
+        """Crash an instance."""
         del self._instances[name]
         for request, home in self._homes.items():
             outcome = self._outcomes[request]
             if home == name and outcome.ended is None:
-                # The caller sees its connection end; it is told nothing.
+                # The caller sees only that its connection breaks.
                 outcome.ended = self.now - START_TIME_S
                 outcome.error = "instance-lost"
                 outcome.ran = "unknown"
--- a/src/scalebend/measuring/leader_queue.py
+++ b/src/scalebend/measuring/leader_queue.py
@@ -1,4 +1,4 @@
-"""Questions that wait for a leader that takes time for each choice, in virtual time."""
+"""Model of a leader that places one request at a time, in simulated time."""
 
 from __future__ import annotations
 
@@ -8,26 +8,27 @@
 
 
 class LeaderDecision(msgspec.Struct, frozen=True):
-    """When a front has its answer, and whether the leader gave it."""
+    """Time at which a request is placed, and whether the leader placed it."""
 
     at: float
     is_coordinated: bool
 
 
 class LeaderQueue:
-    """One leader that answers in the order in which it is asked."""
+    """One leader that places requests in the order of their arrival."""
 
     def __init__(self, choice_time: float, fronts: int) -> None:
-        """``choice_time`` is in seconds."""
+        """``choice_time`` is the time of one choice in seconds."""
         self._choice_time = choice_time
         self._backoff_until = [0.0] * fronts
         self.free_at = 0.0
-        """When all that was asked so far is answered."""
+        """Time at which the leader has placed all requests that arrived so far."""
 
     def place(self, front: int, round_trip_s: float, now: float) -> LeaderDecision:
-        """Ask at ``now``, over a way of ``way`` seconds to the leader and back.
+        """Ask the leader at ``now`` for a placement; ``front`` is a number.
 
-        A front that waits in vain decides alone, and asks nothing for a while.
+        After a timeout the front places the request uncoordinated, and does not ask
+        the leader during a backoff.
         """
         if now < self._backoff_until[front]:
             return LeaderDecision(now, is_coordinated=False)
--- a/src/scalebend/measuring/losses.py
+++ b/src/scalebend/measuring/losses.py
@@ -1,9 +1,9 @@
-"""A ledger of requests that were not served in time, by kind, moment and reason.
+"""Ledger of requests that were not served in time, by route, arrival time and reason.
 
-Read from the fronts' structured logs: ``engines chosen``, ``engines declined``, ``all
-upstreams asked for a pause``, ``attempt ended``, ``caller left`` and ``request
-answered``. A line may stand behind a prefix, such as a process' name. Times are in
-seconds.
+It is built from the structured logs of fronts, from the events ``engines chosen``,
+``engines declined``, ``all upstreams asked for a pause``, ``attempt ended``, ``caller
+left`` and ``request answered``. A line may have a prefix, such as the name of a
+process. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 import msgspec
 
 LONG_WAIT_SHARE = 0.5
-"""Part of the target that a wait for the turn must take to be the reason."""
+"""Share of the target from which a wait for the planned start is the reason."""
 
 SLOW_FACTOR = 1.5
-"""Times the predicted first token from which the replica is the reason."""
+"""Multiple of the predicted time to first event that makes the replica the reason."""
 
 
 class Reason(Enum):
-    """Why a request earned less than its whole worth."""
+    """Why a request was not served in time."""
 
     REJECTED = "refused: no place in time"
     REJECTED_BY_REPLICAS = "refused: replicas turned it away"
@@ -43,7 +43,7 @@
 
 
 class LoggedRequest(msgspec.Struct):
-    """What the log tells of one attempt of a caller."""
+    """One request of a caller as the log describes it."""
 
     request: str
     at: float
@@ -60,14 +60,14 @@
     had_leader: bool = True
     was_declined: bool = False
     met_backoff: bool = False
-    """Whether all upstreams that were left had asked for a pause."""
+    """Whether all remaining upstreams were in backoff."""
 
     has_disconnected: bool = False
     outcomes: list[str] = msgspec.field(default_factory=list)
 
 
 class LedgerRow(msgspec.Struct, frozen=True):
-    """Requests of one route that were lost for one reason."""
+    """Number of requests of one route that were not served in time for one reason."""
 
     route: str
     reason: str
@@ -84,20 +84,23 @@
 
 
 class Ledger(msgspec.Struct, frozen=True):
-    """All losses; the counts of ``rows`` and of ``windows`` both sum up to ``lost``."""
+    """All losses; the counts of ``rows`` and of ``windows`` each sum up to ``lost``."""
 
     requests: int
     lost: int
     rows: list[LedgerRow]
     windows: list[WindowRow]
     cut_short: int = 0
-    """Requests left out of all counts: the time limit of their route ended them, and it
-    is below the route's own target or ended all that came there. Documents have such
-    routes to test what is in force; an outage would show here as well."""
+    """Requests that no other count includes.
+
+    The time limit of their route ended them, and it is below the target of the route or
+    ended all its requests. Routing documents have such routes to test time limits; an
+    outage of a route appears here as well.
+    """
 
 
 def read_requests(lines: Iterable[str]) -> list[LoggedRequest]:
-    """Requests of callers in log lines, in the order in which they were first named."""
+    """Return the requests in log lines, in the order of their first line."""
     requests: dict[str, LoggedRequest] = {}
     for line in lines:
         start = line.find("{")
@@ -106,7 +109,7 @@
         try:
             event = msgspec.json.decode(line[start:])
         except msgspec.DecodeError:
-            # A line that was cut by a crash tells nothing.
+            # A crash may truncate a line.
             continue
         _apply_event(requests, event)
     return list(requests.values())
@@ -140,7 +143,7 @@
 
 
 def find_reason(seen: LoggedRequest) -> Reason | None:
-    """Why a request was not served in time; ``None`` when it was."""
+    """Return why a request was not served in time; ``None`` if it was."""
     if seen.has_disconnected or seen.status is None:
         return Reason.CALLER_DISCONNECTED
     if seen.status >= 400 or seen.status == 0:
@@ -201,7 +204,7 @@
 
 def build_ledger(requests: list[LoggedRequest], window: float) -> Ledger:
     """Count losses by route and reason, and by windows of ``window`` seconds."""
-    # Who calls a route that is not there is owed nothing.
+    # Unauthenticated requests and those to unknown routes do not count as lost.
     allowed = [one for one in requests if one.status not in (401, 404)]
     ended_routes = {one.route for one in allowed if not _has_reached_time_limit(one)}
     counted = [one for one in allowed if not _is_cut_short(one, ended_routes)]
@@ -243,7 +246,7 @@
 
 
 def format_ledger(ledger: Ledger) -> str:
-    """Tables for people."""
+    """Format the ledger as text tables."""
     lines = [f"{ledger.requests} requests, {ledger.lost} not served in time"]
     if ledger.cut_short:
         lines.append(f"{ledger.cut_short} more cut short by their route's time limit")
--- a/src/scalebend/measuring/outcomes.py
+++ b/src/scalebend/measuring/outcomes.py
@@ -1,4 +1,4 @@
-"""What a run leaves: the outcome of each request, and the prefixes of its prompt."""
+"""Outcomes of the requests of a run, and the prefix hashes of their prompts."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 BYTES_PER_TOKEN = 4
 PREFIX_HASH_STRIDE = 8_000_000
+"""Distance between the hashes of two prompts; above the bytes of any prompt."""
+
 FIRST_PRIVATE_PREFIX = 1_000_000
+"""First number of prefixes that no other request shares."""
 
 
 class Outcome(msgspec.Struct):
-    """What became of one planned request; times in seconds of the load's clock."""
+    """Outcome of one planned request; times are in seconds since the load began."""
 
     planned: PlannedRequest
     order: str = ""
@@ -27,7 +30,13 @@
 
 
 class RunResult(msgspec.Struct):
-    """All outcomes of a run and what it left behind."""
+    """All outcomes of a run, and counts of broken promises.
+
+    ``memory_left`` is in tokens. ``overfilled`` counts requests that engines rejected
+    because their memory was full, ``run_twice`` orders that ran more than once, and
+    ``late_starts_on_draining`` attempts that started on an engine after it should get
+    no more. ``used_by_customer`` holds times, customers and nominal costs.
+    """
 
     outcomes: list[Outcome]
     memory_left: int
@@ -39,7 +48,7 @@
 
 
 def build_prefixes(planned: PlannedRequest) -> tuple[tuple[int, int], ...]:
-    """Hashes of the prompt's prefixes with their tokens; the first are shared."""
+    """Return hashes and token counts of the prefixes of a prompt, the shared first."""
     if planned.prefix is None:
         return ()
     prefixes = []
--- a/src/scalebend/measuring/placement_baselines.py
+++ b/src/scalebend/measuring/placement_baselines.py
@@ -1,4 +1,4 @@
-"""What the scheduler is compared with: a plain way to place, and a bound."""
+"""Baselines for the scheduler: a simple placement, and an upper bound."""
 
 from __future__ import annotations
 
@@ -13,33 +13,32 @@
 from scalebend.models.routing import EngineProfile
 
 TOKENS_PER_HELPER = 60_000
-"""Tokens of a prompt for which the plain way takes one more engine."""
+"""Prompt tokens for which the simple placement adds one prefill helper."""
 
 
 def place_baseline(
-    work: EngineWork, endpoint: Endpoint, alive: list[Endpoint]
+    work: EngineWork, endpoint: Endpoint, available: list[Endpoint]
 ) -> Placement:
-    """``endpoint``, and as many of the next ones in order as the prompt is long."""
-    more = min(MAX_HELPERS, work.prompt_tokens // TOKENS_PER_HELPER)
-    position = alive.index(endpoint)
-    others = (alive[position + 1 :] + alive[:position])[:more]
+    """Place at ``endpoint``, with as many next ones as helpers as the prompt needs."""
+    helper_count = min(MAX_HELPERS, work.prompt_tokens // TOKENS_PER_HELPER)
+    position = available.index(endpoint)
+    others = (available[position + 1 :] + available[:position])[:helper_count]
     helpers = tuple(Helper(one.upstream, one.address) for one in others)
     return Placement(endpoint.upstream, endpoint.address, helpers, 0.0)
 
 
 def serve_on_idle_fleet(
-    result: Result, profile: EngineProfile, engines: int, way: float
+    result: Result, profile: EngineProfile, engines: int, hop_time_s: float
 ) -> None:
-    """Note what became of a request that has ``engines`` idle engines for itself.
+    """Record the result of a request that has ``engines`` idle engines to itself.
 
-    No way of deciding beats that.
-
-    ``way`` is the time in seconds from a caller to its front, and on to an engine.
+    No placement can give a better one. ``hop_time_s`` is the time in seconds from a
+    caller to its front, and from there to an engine.
     """
     arrival = result.arrival
-    read = compute_prefill_time(profile, arrival.prompt)
+    prefill_time = compute_prefill_time(profile, arrival.prompt)
     width = min(MAX_HELPERS + 1, engines)
-    event = compute_batch_step_time(profile, [arrival.prompt])
-    result.first_event = read / width + event + 3 * way
-    result.longest_gap = event
+    step_time = compute_batch_step_time(profile, [arrival.prompt])
+    result.first_event = prefill_time / width + step_time + 3 * hop_time_s
+    result.longest_gap = step_time
     result.is_complete = True
--- a/src/scalebend/measuring/placement_cells.py
+++ b/src/scalebend/measuring/placement_cells.py
@@ -1,4 +1,4 @@
-"""The engines of a modelled fleet in cells, each with a leader of its own."""
+"""Cells of a modelled fleet, each with its own leader."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class Cell(msgspec.Struct):
-    """A part of the engines and its leader."""
+    """A group of engines and its leader."""
 
     number: int
     endpoints: list[Endpoint]
     queue: LeaderQueue
     scheduler: EngineScheduler = msgspec.field(default_factory=EngineScheduler)
     reported_load: float = 0.0
-    """Open jobs for each engine, as fronts last heard."""
+    """Open jobs per engine, as last reported to fronts."""
 
     def publish_load(self) -> None:
-        """Let fronts hear how full the cell is."""
+        """Report the present load of the cell to fronts."""
         self.reported_load = self.scheduler.open_jobs / max(1, len(self.endpoints))
 
 
 def build_endpoints(profile: EngineProfile, count: int) -> list[Endpoint]:
-    """All engines, as upstreams of one service."""
+    """Build the endpoints of all engines, as upstreams of one service."""
     return [
         Endpoint(
             UpstreamId(f"engine-{number}"),
@@ -49,7 +49,7 @@
 
 
 def build_cells(scenario: PlacementScenario, endpoints: list[Endpoint]) -> list[Cell]:
-    """Deal the engines out in turn."""
+    """Distribute the engines over the cells, one after the other."""
     return [
         Cell(
             number,
@@ -61,10 +61,10 @@
 
 
 def choose_cell(
-    cells: list[Cell], is_lost: Callable[[Cell], bool], rng: random.Random
+    cells: list[Cell], has_no_leader: Callable[[Cell], bool], rng: random.Random
 ) -> Cell | None:
-    """The less loaded of two drawn; ``None`` where all leaders are lost."""
-    led = [cell for cell in cells if not is_lost(cell)]
+    """Return the less loaded of two random cells; ``None`` if none has a leader."""
+    led = [cell for cell in cells if not has_no_leader(cell)]
     if len(led) <= 1:
         return led[0] if led else None
     return min(rng.sample(led, 2), key=lambda cell: cell.reported_load)
--- a/src/scalebend/measuring/placement_results.py
+++ b/src/scalebend/measuring/placement_results.py
@@ -1,4 +1,4 @@
-"""What became of each request in a run of placement, and what it is worth."""
+"""Results of the requests in a placement run, and the worth that they earn."""
 
 from __future__ import annotations
 
@@ -10,26 +10,29 @@
 
 FREE_WAIT_SHARE = 1 / 8
 FULL_COST_WAIT_SHARE = 3 / 4
-"""Parts of the target and of the deadline between which holding what is then not
-served costs more and more, up to the whole worth."""
+"""Waits that a request spends unserved.
+
+They cost nothing up to the first value, a share of the target, and the whole worth from
+the second one, a share of the deadline. The cost is linear in between.
+"""
 
 SECOND_REJECTION_COST_SHARE = 0.3
-"""Part of the worth that a returned request costs that is refused again."""
+"""Share of the worth that the second rejection of a request costs."""
 
 
 class Decider(Enum):
-    """Who decides where work goes."""
+    """The policy that places requests."""
 
     LEADER = "leader"
     UNCOORDINATED = "alone"
     FEWEST_OPEN = "fewest-open"
     RANDOM = "random"
     IDLE_FLEET = "idle-fleet"
-    """Each request on a fleet of its own: a bound."""
+    """Each request has an idle fleet to itself: an upper bound."""
 
 
 class Result(msgspec.Struct):
-    """What became of one request; times since its first attempt."""
+    """Result of one request; times are in seconds since its arrival."""
 
     arrival: Arrival
     first_event: float | None = None
@@ -39,7 +42,7 @@
     rejections: int = 0
     has_disconnected: bool = False
     wasted_wait_s: float = 0.0
-    """Seconds for which it was held in vain before its last refusal."""
+    """Seconds that it was open without being served."""
 
     @property
     def is_on_time(self) -> bool:
@@ -53,7 +56,7 @@
         )
 
     def compute_worth(self) -> float:
-        """Worth earned, less the price of refusals."""
+        """Return the earned worth, or the negative cost of an unserved request."""
         kind = self.arrival.kind
         if self.is_on_time:
             return kind.worth * self.arrival.size_factor
@@ -61,10 +64,10 @@
             return kind.late_worth * self.arrival.size_factor
         free_until = FREE_WAIT_SHARE * kind.target
         full_cost_from = FULL_COST_WAIT_SHARE * kind.deadline
-        price = min(
+        cost = min(
             1.0,
             max(0.0, self.wasted_wait_s - free_until) / (full_cost_from - free_until),
         )
         if self.rejections > 1:
-            price += SECOND_REJECTION_COST_SHARE
-        return -price * kind.worth * self.arrival.size_factor
+            cost += SECOND_REJECTION_COST_SHARE
+        return -cost * kind.worth * self.arrival.size_factor
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -1,8 +1,8 @@
-"""Plays a scenario of placement in virtual time and counts what callers got.
+"""Runs a placement scenario in simulated time and records what callers get.
 
-The real scheduler decides: one leader that hears of all, one for each cell of the
-fleet, or each front alone. Two plain ways stand beside it, and the time that each
-request takes on a fleet of its own, which no way of deciding can beat.
+The scheduler of the gateway places requests: one leader for all, one for each cell of
+the fleet, or each front uncoordinated. It is compared with two simple placements and
+with the upper bound, in which each request has an idle fleet to itself.
 """
 
 from __future__ import annotations
@@ -51,22 +51,22 @@
 )
 
 LEADER_ROUND_TRIP_S = 0.003
-"""Seconds from a front's question to the leader's answer."""
+"""Time from a placement request of a front to the reply, without queueing."""
 
 REPORT_DELAY_S = 0.002
-"""Seconds until the leader knows what a front saw."""
+"""Time until the leader receives a report of a front."""
 
 HOP_TIME_S = 0.002
-"""Seconds from a caller to its front, from there to an engine, and back."""
+"""Time from a caller to its front, or from a front to an engine, or back."""
 
 HEARTBEAT_INTERVAL_S = 0.5
-"""Seconds between two heartbeats of the leader to the fronts."""
+"""Interval between two heartbeats of the leader to the fronts."""
 
 EXPIRE_INTERVAL_S = 0.5
-"""Seconds between two searches for jobs whose end was not heard."""
+"""Interval between two searches for jobs whose end was not reported."""
 
 CRASH_DETECTION_S = 0.2
-"""Seconds until a front sends a request again whose engine crashed."""
+"""Time until a front retries a request whose engine crashed."""
 
 
 class _Job(msgspec.Struct):
@@ -75,16 +75,16 @@
     placement: Placement
     engines: list[int]
     cell: Cell | None
-    """Whose leader placed it, or ``None``: its front did."""
+    """Cell whose leader placed the job; ``None`` if its front placed it."""
 
     placed_at: float
     prefilling: set[int]
-    is_writing: bool = False
+    is_decoding: bool = False
     has_ended: bool = False
 
 
 class PlacementRun:
-    """One run of one decider over one seed."""
+    """One run of a scenario with one decider and one seed."""
 
     def __init__(
         self, scenario: PlacementScenario, decider: Decider, seed: int
@@ -112,7 +112,7 @@
         self._readiness = [self._rng.random() for _ in range(scenario.fronts)]
         self.choices = 0
         self.uncoordinated_choices = 0
-        """Choices that fronts made without the leader."""
+        """Placements that fronts made without the leader."""
 
         self.results: list[Result] = []
         for arrival in plan_arrivals(scenario, seed):
@@ -124,10 +124,12 @@
                 loss.at,
                 lambda one=loss: self._crash_engines(one.count, one.back_after),  # type: ignore[misc]
             )
-        for lost in scenario.leader_losses:
+        for loss_of_leaders in scenario.leader_losses:
             self._call_at(
-                lost.at + lost.length,
-                lambda one=lost: self._replace_leaders(self._cells[: one.cells]),  # type: ignore[misc]
+                loss_of_leaders.at + loss_of_leaders.length,
+                lambda one=loss_of_leaders: self._replace_leaders(
+                    self._cells[: one.cells]
+                ),  # type: ignore[misc]
             )
         for cut in scenario.front_partitions:
             self._call_at(cut.at, lambda one=cut: self._forget_front_jobs(one.count))  # type: ignore[misc]
@@ -140,7 +142,7 @@
         self._call_at(EXPIRE_INTERVAL_S, self._expire)
 
     def run(self) -> list[Result]:
-        """Play everything; return what became of each request."""
+        """Run the whole scenario and return the result of each request."""
         if self._decider is Decider.IDLE_FLEET:
             for result in self.results:
                 serve_on_idle_fleet(
@@ -179,14 +181,14 @@
                 self._call_at(ready_at, lambda: self._arrive(result))
                 return
         if arrival.disconnects_after is not None:
-            leave_at = arrival.at + arrival.disconnects_after
+            disconnect_at = arrival.at + arrival.disconnects_after
             self._call_at(
-                max(leave_at, self._now), lambda: self._disconnect_caller(result)
+                max(disconnect_at, self._now), lambda: self._disconnect_caller(result)
             )
         self._request_placement(result)
 
     def _request_placement(self, result: Result) -> None:
-        """Ask the leader, or decide alone where it does not answer in time."""
+        """Ask the leader; place uncoordinated if it does not reply in time."""
         front = result.arrival.front
         cell = choose_cell(
             self._cells, lambda one: self._has_no_leader(one, front), self._rng
@@ -232,7 +234,7 @@
         self._await_start(number)
 
     def _await_start(self, number: int) -> None:
-        """Send when the turn comes; ask now and then whether it comes sooner."""
+        """Send at the planned start; replan at intervals while it is later."""
         start_in = self._jobs[number].placement.start_in
         if start_in > REPLAN_PERIOD_S:
             self._call_at(self._now + REPLAN_PERIOD_S, lambda: self._replan(number))
@@ -266,25 +268,29 @@
         self, work: EngineWork, front: int, cell: Cell | None
     ) -> Placement | Declined:
         endpoints = self._endpoints if cell is None else cell.endpoints
-        alive = [e for e in endpoints if self._numbers[e.upstream] not in self._down]
+        available = [
+            e for e in endpoints if self._numbers[e.upstream] not in self._down
+        ]
         match self._decider:
             case Decider.RANDOM:
-                return place_baseline(work, self._rng.choice(alive), alive)
+                return place_baseline(work, self._rng.choice(available), available)
             case Decider.FEWEST_OPEN:
-                return place_baseline(work, min(alive, key=self._count_open), alive)
+                return place_baseline(
+                    work, min(available, key=self._count_open), available
+                )
         scheduler = self._fronts[front] if cell is None else cell.scheduler
         self.choices += 1
         self.uncoordinated_choices += cell is None
-        return scheduler.place(work, alive, self._profile, self._now)
+        return scheduler.place(work, available, self._profile, self._now)
 
     def _report_open_job(self, job: _Job) -> None:
-        """Whoever did not place the job hears of it: its front, or the leader."""
+        """Report an open job to its front and to the leaders of its engines."""
         opened = OpenJob(job.work, job.placement, is_writing=False)
         front = self._fronts[job.result.arrival.front]
         front.forget(job.work.job)
         front.adopt(opened, self._profile, self._now)
         for cell in self._find_reachable_cells(job):
-            # It hears of it after all that it was asked before.
+            # The leader processes requests that arrived earlier first.
             reported_at = max(self._now, cell.queue.free_at)
             self._call_at(
                 reported_at,
@@ -296,7 +302,7 @@
             cell.scheduler.adopt(opened, self._profile, self._now)
 
     def _find_reachable_cells(self, job: _Job) -> list[Cell]:
-        """Cells whose leader hears of a job: those of its engines."""
+        """Return the cells of a job's engines whose leader its front reaches."""
         numbers = {engine % len(self._cells) for engine in job.engines}
         front = job.result.arrival.front
         return [
@@ -310,7 +316,7 @@
         return self._engines[number].open_jobs, self._rng.random()
 
     def _has_no_leader(self, cell: Cell, front: int) -> bool:
-        """Whether a front has no leader of this cell to ask now."""
+        """Whether a front can reach no leader of a cell now."""
         scenario = self._scenario
         return (
             self._decider is Decider.UNCOORDINATED
@@ -329,20 +335,20 @@
         return at <= self._now < at + length
 
     def _replace_leaders(self, cells: list[Cell]) -> None:
-        """New leaders learn what is open from the fronts that reach them."""
+        """Start new leaders, to which reachable fronts report their open jobs."""
         for cell in cells:
             cell.scheduler = EngineScheduler()
         for job in self._jobs.values():
             if job.has_ended:
                 continue
             opened = OpenJob(
-                job.work, job.placement, job.is_writing, self._now - job.placed_at
+                job.work, job.placement, job.is_decoding, self._now - job.placed_at
             )
             for cell in self._find_reachable_cells(job):
                 cell.scheduler.adopt(opened, self._profile, self._now)
 
     def _restart(self) -> None:
-        """All processes lose what they knew, and their callers what was open."""
+        """Restart all processes; they lose their state and all open requests."""
         for number, job in self._jobs.items():
             if not job.has_ended:
                 self._end_job(number)
@@ -354,14 +360,14 @@
         ]
 
     def _forget_front_jobs(self, count: int) -> None:
-        """Leaders lost the links to some fronts, and with them their jobs."""
+        """Make leaders forget the jobs of fronts whose links were lost."""
         for number in range(count):
             front = InstanceId(f"front-{number}")
             for cell in self._cells:
                 cell.scheduler.forget_front(partial(is_job_of, front))
 
     def _send_heartbeats(self) -> None:
-        """Heartbeats of leaders say which replicas are busy, and with what."""
+        """Report the load of busy replicas from the leaders to the fronts."""
         for cell in self._cells:
             cell.publish_load()
         for number, front in enumerate(self._fronts):
@@ -397,8 +403,8 @@
         seconds = compute_prefill_time(self._profile, arrival.prompt) / width
         for engine in job.engines:
             tokens = arrival.prompt // width
-            reading = PrefillWork(number, seconds, tokens, is_grouped=width > 1)
-            self._engines[engine].add_prefill(reading, is_lead=engine == job.engines[0])
+            prefill = PrefillWork(number, seconds, tokens, is_grouped=width > 1)
+            self._engines[engine].add_prefill(prefill, is_lead=engine == job.engines[0])
             self._start_batch_step(engine)
 
     def _end_at_deadline(self, number: int) -> None:
@@ -467,11 +473,11 @@
             arrival = job.result.arrival
             events_left = arrival.events
             if engine == job.engines[0]:
-                # The pass that ends the reading brings the first token, too.
+                # The batch step that completes the prefill also yields the first token.
                 events_left -= 1
                 self._record_event(number)
-            first = self._engines[job.engines[0]]
-            first.start_decoding(DecodeWork(number, arrival.prompt, events_left))
+            lead = self._engines[job.engines[0]]
+            lead.start_decoding(DecodeWork(number, arrival.prompt, events_left))
             self._start_batch_step(job.engines[0])
 
     def _record_event(self, number: int) -> None:
@@ -480,8 +486,8 @@
             return
         result = job.result
         seen = self._now + HOP_TIME_S - result.arrival.at
-        if not job.is_writing:
-            job.is_writing = True
+        if not job.is_decoding:
+            job.is_decoding = True
             self._report_stage(job, is_ended=False)
         if result.first_event is None:
             result.first_event = seen
@@ -496,17 +502,17 @@
         self._report_stage(job, is_ended=True)
 
     def _crash_engines(self, count: int, back_after: float) -> None:
-        alive = [n for n in range(len(self._engines)) if n not in self._down]
-        for number in self._rng.sample(alive, min(count, len(alive))):
+        available = [n for n in range(len(self._engines)) if n not in self._down]
+        for number in self._rng.sample(available, min(count, len(available))):
             self._down.add(number)
-            lost = self._engines[number].crash()
-            for job in lost:
+            affected = self._engines[number].crash()
+            for job in affected:
                 self._place_again(job)
             back = self._now + back_after
             self._call_at(back, lambda n=number: self._down.discard(n))  # type: ignore[misc]
 
     def _place_again(self, number: int) -> None:
-        """A request lost an engine: its front places it anew, once it noticed."""
+        """Place a request again once its front has detected the engine's crash."""
         job = self._jobs[number]
         if job.has_ended:
             return
--- a/src/scalebend/measuring/placement_scenario.py
+++ b/src/scalebend/measuring/placement_scenario.py
@@ -1,6 +1,7 @@
-"""What a measurement of placement plays: engines, kinds of request, phases, losses.
+"""Scenario of a placement measurement: engines, kinds of request, phases and faults.
 
-One JSON file. Times are in seconds, sizes in tokens, unless a name says otherwise.
+A scenario is one JSON file. Times are in seconds and sizes in tokens, unless a name
+says otherwise.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Engines(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fleet of equal engines; the fields of one are those of a routing document."""
+    """A fleet of equal engines, described by the fields of a routing document."""
 
     count: int
     slots: int
@@ -26,10 +27,10 @@
     read_tokens_per_second: float
     pairs_ms_per_million: float
     chunk_tokens: int = 2048
-    """Prompt tokens that one step reads at most."""
+    """Most prompt tokens that one step of a batch can prefill."""
 
     def build_profile(self) -> EngineProfile:
-        """What a scheduler is told of such an engine."""
+        """Return the profile of one engine for a scheduler."""
         return EngineProfile(
             slots=self.slots,
             memory_tokens=self.memory_tokens,
@@ -43,7 +44,7 @@
 
 
 class Sizes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Sizes drawn from a lognormal distribution, cut at ``most``."""
+    """Sizes drawn from a lognormal distribution, limited to ``maximum``."""
 
     mean: float
     spread: float
@@ -52,13 +53,17 @@
     maximum: float = msgspec.field(name="most")
 
     def draw(self, rng: random.Random) -> float:
-        """One size."""
+        """Draw one size."""
         centre = math.log(self.mean) - self.spread**2 / 2.0
         return min(self.maximum, rng.lognormvariate(centre, self.spread))
 
 
 class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of request."""
+    """A kind of request.
+
+    ``per_second`` is its arrival rate, ``target`` the time to the first event,
+    ``worth`` what a request of mean size earns on time and ``late_worth`` later.
+    """
 
     name: str
     per_second: float
@@ -72,7 +77,7 @@
 
 
 class Phase(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A time in which kinds come more or less often than usual."""
+    """An interval in which factors change the arrival rates of kinds."""
 
     start: float
     length: float
@@ -80,7 +85,7 @@
 
 
 class EngineLoss(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Engines that crash at once; they return empty."""
+    """Engines that crash together and restart without work after ``back_after``."""
 
     at: float
     count: int
@@ -88,16 +93,16 @@
 
 
 class LeaderLoss(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A time in which leaders are lost, and fronts without one decide alone."""
+    """An interval without leaders, in which fronts place uncoordinated."""
 
     at: float
     length: float
     cells: int | None = None
-    """How many cells lose theirs; all by default."""
+    """Number of cells without a leader; all by default."""
 
 
 class FrontPartition(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A time in which the first ``count`` fronts reach engines, but not the leader."""
+    """An interval in which the first ``count`` fronts reach engines but no leader."""
 
     at: float
     length: float
@@ -105,20 +110,22 @@
 
 
 class FullRestart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All fronts and the leader end at once; callers lose what is open, and what they
-    send until the processes are back."""
+    """A restart of all fronts and leaders.
+
+    Open requests are lost, and so are those sent until the processes are back.
+    """
 
     at: float
     length: float
     ready_within: float = 0.0
-    """Fronts are ready one after the other in this time after the restart."""
+    """Time after the restart over which fronts become ready, at random."""
 
     waiting: float = 0.0
-    """Callers that come in this time before the end wait, and are not lost."""
+    """Requests that arrive in this time before the end wait and are not lost."""
 
 
 class PlacementScenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything but the seed and the decider."""
+    """All parameters of a run except for the seed and the decider."""
 
     name: str
     engines: Engines
@@ -133,16 +140,16 @@
     )
     restarts: list[FullRestart] = msgspec.field(default_factory=list)
     cells: int = 1
-    """Parts of the fleet, each with a leader of its own."""
+    """Number of cells of the fleet, each with its own leader."""
 
     choice_time: float = 0.0
-    """Seconds that the leader takes for each choice, one after the other."""
+    """Time of the leader for each placement; it makes one at a time."""
 
     disconnect_share: float = msgspec.field(name="leaves_early", default=0.0)
-    """Part of the callers that leave while they wait for the first event."""
+    """Share of the callers that disconnect while they wait for the first event."""
 
     retries: int = 1
-    """Times that a refused caller returns."""
+    """Number of retries of a rejected caller."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
@@ -158,12 +165,12 @@
 
     @property
     def size_factor(self) -> float:
-        """How much more than a mean request of its kind it is worth."""
+        """Worth relative to that of a request of mean size."""
         return min(4.0, 0.3 + 0.7 * self.prompt / self.kind.prompt.mean)
 
 
 def plan_arrivals(scenario: PlacementScenario, seed: int) -> list[Arrival]:
-    """Draw all arrivals; the same for every decider."""
+    """Draw all arrivals; they depend only on the scenario and the seed."""
     rng = random.Random(seed)
     drawn: list[tuple[float, RequestKind]] = []
     for kind in scenario.kinds:
--- a/src/scalebend/measuring/placement_table.py
+++ b/src/scalebend/measuring/placement_table.py
@@ -1,4 +1,4 @@
-"""The figures of runs of placement: worth, time to first event, refusals, by kind."""
+"""Figures of placement runs: worth, time to first event and rejections by kind."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from scalebend.utils.quantiles import read_quantile
 
 WINDOW_S = 2.0
-"""Seconds of one window of arrivals; the two worst of a run are told."""
+"""Length of a window of arrivals; the two worst windows of a run are reported."""
 
 Z_SCORE_95 = 1.96
-"""Standard errors on either side of a mean that hold it in 95 of 100 cases."""
+"""Standard errors on each side of a mean in a confidence interval of 95 %."""
 
 
 class KindFigures(msgspec.Struct, frozen=True):
-    """One kind of request over all seeds; times in seconds."""
+    """Figures of one kind of request over all seeds; times are in seconds."""
 
     kind: str
     requests: int
@@ -30,19 +30,19 @@
 
 
 class DeciderFigures(msgspec.Struct, frozen=True):
-    """One decider over all seeds; worth as a part of what was to be earned."""
+    """Figures of one decider over all seeds; worth as a share of the attainable."""
 
     decider: str
     worth: float
     worth_error: float
-    """Half of the width of the interval that holds the mean in 95 of 100 cases."""
+    """Half of the width of the 95 % confidence interval of ``worth``."""
 
     worst_windows: float
     kinds: list[KindFigures]
 
 
 def build_figures(decider: Decider, runs: list[list[Result]]) -> DeciderFigures:
-    """Sum up the runs of one decider."""
+    """Summarize the runs of one decider."""
     worths = [_compute_worth_share(run) for run in runs]
     error = 0.0
     if len(worths) > 1:
@@ -73,14 +73,14 @@
 
 
 def _compute_worth_share(results: list[Result]) -> float:
-    """Worth earned as a part of the worth owed; who left early is owed nothing."""
-    owed = 0.0
+    """Return earned by attainable worth, without callers that disconnected."""
+    attainable = 0.0
     earned = 0.0
     for result in results:
         if not result.has_disconnected:
-            owed += result.arrival.kind.worth * result.arrival.size_factor
+            attainable += result.arrival.kind.worth * result.arrival.size_factor
             earned += result.compute_worth()
-    return earned / owed if owed else 1.0
+    return earned / attainable if attainable else 1.0
 
 
 def _find_worst_windows(results: list[Result]) -> float:
@@ -91,7 +91,7 @@
 
 
 def format_table(figures: list[DeciderFigures]) -> str:
-    """A table for people."""
+    """Format the figures as a text table."""
     lines = ["decider      worth          worst windows"]
     for one in figures:
         lines.append(
--- a/src/scalebend/measuring/plots.py
+++ b/src/scalebend/measuring/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a measurement, as PNG files."""
+"""Plots of a measurement as PNG files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def draw_plots(out: Path, name: str, figures: list[Figures]) -> None:
-    """Draw first token by length, slowdown of short requests, and shares."""
+    """Plot time to first token, slowdown of short requests and shares."""
     policies = list(dict.fromkeys(item.policy for item in figures))
     _draw_first_token(out / f"{name}-first-token.png", policies, figures)
     _draw_slowdown(out / f"{name}-slowdown.png", policies, figures)
--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -1,4 +1,4 @@
-"""Figures of a run: times by band, slowdown, shares, broken promises."""
+"""Figures of a run: times by band of prompt lengths, shares and broken promises."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 from scalebend.utils.quantiles import read_quantile
 
 NETWORK_TIME_S = 0.004
-"""Seconds that an idle fleet adds to a request: hops to the owner and the engine."""
+"""Network time of a request on an idle fleet: hops to the owner and the engine."""
 
 DEADLINE_SLACK_S = 0.1
-"""Seconds after its time limit within which a request must have ended (one tick)."""
+"""Time after its deadline within which a request must end; covers one tick."""
 
 SHARE_WINDOW_S = 60.0
 
 
 class BandFigures(msgspec.Struct, frozen=True):
-    """One band; times in seconds; ratios against an idle fleet."""
+    """Figures of one band.
+
+    Times are in seconds; ratios and slowdowns are relative to an idle fleet.
+    """
 
     band: str
     requests: int
@@ -44,7 +47,7 @@
 
 
 class ShareFigures(msgspec.Struct, frozen=True):
-    """A customer's part of the work done in the window, and what it may expect."""
+    """Share of the work that a customer used in the window, and its entitled share."""
 
     customer: str
     entitled: float
@@ -52,7 +55,11 @@
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """All figures of one run."""
+    """All figures of one run.
+
+    ``wrong_not_run`` counts requests that were reported as not run although they had
+    started, ``wrong_answers`` complete responses of a wrong length.
+    """
 
     scenario: str
     policy: str
@@ -72,7 +79,7 @@
     late_starts_on_draining: int = msgspec.field(name="late_to_leaving")
 
     def count_broken_promises(self) -> int:
-        """How often a promise was broken."""
+        """Return how often any promise was broken."""
         return (
             self.past_time_limit
             + self.memory_left
@@ -85,7 +92,7 @@
 
 
 class IdleTimes(msgspec.Struct, frozen=True):
-    """What a request would see on an idle fleet, in seconds."""
+    """Times of a request on an idle fleet, in seconds."""
 
     first_token: float
     duration: float
@@ -95,7 +102,7 @@
 def compute_idle_times(
     tokens: int, output: int, parameters: EngineParameters
 ) -> IdleTimes:
-    """Run one request alone on as few engines as hold it."""
+    """Run one request on the fewest idle engines whose memory holds it."""
     speed = 1
     while divide_up(tokens + output, speed) > parameters.memory_tokens:
         speed += 1
@@ -125,7 +132,7 @@
 def build_figures(
     scenario: Scenario, policy: str, seed: int, result: RunResult
 ) -> Figures:
-    """Compute the figures of a run, without its warm-up."""
+    """Compute the figures of a run; those by band leave out the warm-up."""
     measured = [
         outcome
         for outcome in result.outcomes
--- a/src/scalebend/measuring/scenario.py
+++ b/src/scalebend/measuring/scenario.py
@@ -1,4 +1,4 @@
-"""A measurement's scenario: fleet, customers, load and faults; one JSON file."""
+"""Scenario of a measurement: fleet, customers, load and faults, in one JSON file."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FaultKind(Enum):
-    """What fails."""
+    """Kind of failure."""
 
     ENGINES_LOST = "engines-lost"
     INSTANCE_LOST = "instance-lost"
@@ -37,7 +37,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One failure; ``at`` and ``back_after`` in seconds, ``rate`` a probability."""
+    """One failure; ``at`` and ``back_after`` in seconds, ``rate`` as a probability."""
 
     kind: FaultKind
     at: float
@@ -47,10 +47,11 @@
 
 
 class LoadCustomer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A customer's part of the load.
+    """The load of one customer.
 
-    ``demand`` is its part of the offered work; ``mix`` its work by band, of ``short``,
-    ``medium``, ``large`` and ``long``; ``active`` the times it sends in, in seconds.
+    ``demand`` is its weight in the offered work, ``mix`` the weights of the bands
+    ``short``, ``medium``, ``large`` and ``long`` in its work, and ``active`` the
+    intervals in which it sends, in seconds; all the time by default.
     """
 
     customer: CustomerId
@@ -64,11 +65,11 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything but the seed and the policy.
+    """All parameters of a run except for the seed and the policy.
 
-    ``load`` is the offered work relative to ``capacity``, which is the work that one
-    engine does a second when saturated, in seconds of nominal cost (see
-    docs/measuring.md). ``report_delay`` is how late engine reports arrive.
+    ``load`` is the offered work relative to ``capacity``, the work that one saturated
+    engine does per second, in seconds of nominal cost (see docs/measuring.md).
+    ``report_delay`` is the delay of engine reports; times are in seconds.
     """
 
     name: str
@@ -96,14 +97,14 @@
 
 
 def compute_cost(tokens: int, output: int, parameters: EngineParameters) -> float:
-    """Nominal engine-seconds of a request; the same measure that shares use."""
+    """Return the nominal cost of a request in engine-seconds, as used for shares."""
     typical_batch = max(1.0, parameters.concurrency / 4)
     decode = output * parameters.step_time / typical_batch
     return tokens / parameters.prefill_rate + decode
 
 
 def plan_load(scenario: Scenario, seed: int) -> list[PlannedRequest]:
-    """Return the requests of a run, by time; the same for the same seed."""
+    """Return the requests of a run by arrival time; a seed always gives the same."""
     rng = random.Random(f"{scenario.name}/{seed}")
     rate = scenario.load * scenario.capacity * scenario.engines
     total = sum(customer.demand for customer in scenario.customers)
@@ -164,5 +165,5 @@
 
 
 def hash_name(name: str) -> int:
-    """Return a number that is the same in every process."""
+    """Return a hash that is the same in every process."""
     return sum((index + 1) * ord(letter) for index, letter in enumerate(name))
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -1,4 +1,4 @@
-"""The ledger of requests that were not served in time, from log lines."""
+"""The ledger of requests that were not served in time is built from log lines."""
 
 import json
 
@@ -23,7 +23,7 @@
     return prefix + json.dumps(line)
 
 
-def answer(second, request, **changes):
+def build_request_line(second, request, **changes):
     fields = {"route": "r", "kind": None, "elapsed": 0.5, **BASE, **changes}
     return build_line("request answered", second, request, **fields)
 
@@ -57,7 +57,7 @@
         ({"first_event": None, "elapsed": 0.4}, Reason.REPLICA_SLOW),
     ],
 )
-def test_reason_of_one_request(changes, reason):
+def test_find_reason(changes, reason):
     assert find_reason(LoggedRequest("r-1", 0.0, **{**BASE, **changes})) is reason
 
 
@@ -74,10 +74,10 @@
             start_in=0.4,
             leader="x",
         ),
-        answer(1.9, "a", first_event=0.7),
-        answer(2.0, "b"),
-        answer(2.1, "c", status=404),
-        answer(4.9, "d", status=503, kind="not-ready", elapsed=0.2),
+        build_request_line(1.9, "a", first_event=0.7),
+        build_request_line(2.0, "b"),
+        build_request_line(2.1, "c", status=404),
+        build_request_line(4.9, "d", status=503, kind="not-ready", elapsed=0.2),
         build_line("caller left", 5.0, "e"),
     ]
     ledger = build_ledger(read_requests(lines), 2.0)
@@ -93,14 +93,14 @@
     }
 
 
-def test_requests_that_their_route_cuts_short_are_counted_apart():
+def test_requests_cut_short_by_their_route_are_counted_separately():
     limit = {"status": 504, "kind": "time-limit", "first_event": None}
     lines = [
-        answer(1.0, "a", **limit, route="test", target=1.0, elapsed=0.4),
-        answer(1.1, "b", **limit, target=1.0, elapsed=1.2),
-        answer(1.2, "c"),
-        answer(1.3, "d", **limit, route="long", target=1.0, elapsed=1.2),
-        answer(1.4, "e", **limit, route="long", target=1.0, elapsed=1.2),
+        build_request_line(1.0, "a", **limit, route="test", target=1.0, elapsed=0.4),
+        build_request_line(1.1, "b", **limit, target=1.0, elapsed=1.2),
+        build_request_line(1.2, "c"),
+        build_request_line(1.3, "d", **limit, route="long", target=1.0, elapsed=1.2),
+        build_request_line(1.4, "e", **limit, route="long", target=1.0, elapsed=1.2),
     ]
     ledger = build_ledger(read_requests(lines), 2.0)
     assert (ledger.requests, ledger.lost, ledger.cut_short) == (2, 1, 3)
@@ -110,9 +110,16 @@
     assert "3 more cut short by their route's time limit" in format_ledger(ledger)
 
 
-def test_command_prints_tables_and_names_a_missing_file(tmp_path, capsys):
+def test_command_prints_tables_and_names_missing_files(tmp_path, capsys):
     log = tmp_path / "front-1.log"
-    log.write_text("\n".join([answer(2.0, "b"), answer(3.0, "c", longest_gap=0.9)]))
+    log.write_text(
+        "\n".join(
+            [
+                build_request_line(2.0, "b"),
+                build_request_line(3.0, "c", longest_gap=0.9),
+            ]
+        )
+    )
     assert explain_losses.run(logs=[log], window=2.0, as_json=False) == 0
     printed = capsys.readouterr().out
     assert "2 requests, 1 not served in time" in printed
--- a/tests/unit/test_measuring.py
+++ b/tests/unit/test_measuring.py
@@ -1,4 +1,4 @@
-"""The measurement itself: repeatable, and able to see a broken promise."""
+"""Measurements are reproducible and detect broken promises."""
 
 import json
 
@@ -43,7 +43,7 @@
     return build_figures(SCENARIO, policy, seed, result)
 
 
-def test_same_seed_gives_the_same_figures_and_another_does_not():
+def test_seed_determines_the_figures():
     assert run(1) == run(1)
     assert run(1) != run(2)
 
@@ -55,7 +55,7 @@
         assert figures.count_broken_promises() == 0
 
 
-def test_measurement_sees_an_overfilled_engine(monkeypatch):
+def test_overfilled_engines_are_detected(monkeypatch):
     monkeypatch.setattr(ReplicaOwner, "_fits_memory", lambda self, work: True)
     monkeypatch.setattr(ReplicaOwner, "_fits_window", lambda self, work, now: True)
     tight = EngineParameters(memory_tokens=100_000)
@@ -73,7 +73,7 @@
     assert build_figures(scenario, "fair", 1, result).overfilled > 0
 
 
-def test_idle_time_follows_the_engine_model():
+def test_idle_times_match_the_engine_model():
     parameters = EngineParameters()
     idle = compute_idle_times(2_048, 1, parameters)
     chunks = 2_048 / parameters.prefill_rate + 2 * 0.002
@@ -83,7 +83,7 @@
     )
 
 
-def test_command_refuses_a_bad_scenario_and_an_unknown_policy(tmp_path, capsys):
+def test_command_rejects_invalid_scenarios_and_unknown_policies(tmp_path, capsys):
     options = {"seed": 1, "seeds": 1, "out": None, "as_json": False}
     path = tmp_path / "scenario.json"
     assert measure.run(scenario=path, policies=[], **options) == 2
