--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -33,7 +33,7 @@
     StartAttempt,
     ToOwner,
 )
-from scalebend.core.placement import MOST_GROUP, Placement
+from scalebend.core.placement import MAX_GROUP_REPLICAS, Placement
 from scalebend.core.queueing import FirstCome, Strategy, compute_size_class
 from scalebend.core.retries import RetryBudget, compute_delay
 from scalebend.exceptions import (
@@ -502,7 +502,8 @@
             )
         elif serving and request.model is not None:
             error = RefusedError(
-                f"{request.memory_tokens} tokens do not fit into {MOST_GROUP} engines",
+                f"{request.memory_tokens} tokens do not fit into "
+                f"{MAX_GROUP_REPLICAS} engines",
                 kind=ErrorKind.PROMPT_TOO_LONG,
             )
         else:
