--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -1,4 +1,4 @@
-"""Figures of a run: times by band, slowdown, shares, broken promises."""
+"""Figures of a run: times by band of prompt lengths, shares and broken promises."""
 
 from __future__ import annotations
 
@@ -20,17 +20,20 @@
 from scalebend.utils.division import divide_up
 from scalebend.utils.quantiles import compute_quantile
 
-NETWORK_TIME = 0.004
-"""Seconds that an idle fleet adds to a request: hops to the owner and the engine."""
+NETWORK_TIME_S = 0.004
+"""Network time of a request on an idle fleet: hops to the owner and the engine."""
 
-DEADLINE_SLACK = 0.1
-"""Seconds after its time limit within which a request must have ended (one tick)."""
+DEADLINE_SLACK_S = 0.1
+"""Time after its deadline within which a request must end; covers one tick."""
 
-SHARE_WINDOW = 60.0
+SHARE_WINDOW_S = 60.0
 
 
 class BandFigures(msgspec.Struct, frozen=True):
-    """One band; times in seconds; ratios against an idle fleet."""
+    """Figures of one band.
+
+    Times are in seconds; ratios and slowdowns are relative to an idle fleet.
+    """
 
     band: str
     requests: int
@@ -44,7 +47,7 @@
 
 
 class ShareFigures(msgspec.Struct, frozen=True):
-    """A customer's part of the work done in the window, and what it may expect."""
+    """Share of the work that a customer used in the window, and its entitled share."""
 
     customer: str
     entitled: float
@@ -52,7 +55,11 @@
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """All figures of one run."""
+    """All figures of one run.
+
+    ``wrong_not_run`` counts requests that were reported as not run although they had
+    started, ``wrong_answers`` complete responses of a wrong length.
+    """
 
     scenario: str
     policy: str
@@ -69,10 +76,10 @@
     wrong_not_run: int
     run_twice: int
     wrong_answers: int
-    late_to_leaving: int
+    late_starts_on_draining: int = msgspec.field(name="late_to_leaving")
 
-    def count_broken(self) -> int:
-        """How often a promise was broken."""
+    def count_broken_promises(self) -> int:
+        """Return how often any promise was broken."""
         return (
             self.past_time_limit
             + self.memory_left
@@ -80,20 +87,22 @@
             + self.wrong_not_run
             + self.run_twice
             + self.wrong_answers
-            + self.late_to_leaving
+            + self.late_starts_on_draining
         )
 
 
 class IdleTimes(msgspec.Struct, frozen=True):
-    """What a request would see on an idle fleet, in seconds."""
+    """Times of a request on an idle fleet, in seconds."""
 
     first_token: float
     duration: float
 
 
 @functools.lru_cache(maxsize=100_000)
-def compute_idle(tokens: int, output: int, parameters: EngineParameters) -> IdleTimes:
-    """Run one request alone on as few engines as hold it."""
+def compute_idle_times(
+    tokens: int, output: int, parameters: EngineParameters
+) -> IdleTimes:
+    """Run one request on the fewest idle engines whose memory holds it."""
     speed = 1
     while divide_up(tokens + output, speed) > parameters.memory_tokens:
         speed += 1
@@ -107,23 +116,23 @@
         now=0.0,
         speed=speed,
     )
-    first = 0.0
+    first_tokens = 0.0
     now = 0.0
     while (end := model.plan(now)) is not None:
         now = end
         for event in model.complete(now):
             match event:
                 case FirstToken(_, at):
-                    first = at
+                    first_tokens = at
                 case Finished(_, at):
-                    return IdleTimes(first + NETWORK_TIME, at + NETWORK_TIME)
-    return IdleTimes(first, now)
+                    return IdleTimes(first_tokens + NETWORK_TIME_S, at + NETWORK_TIME_S)
+    return IdleTimes(first_tokens, now)
 
 
 def build_figures(
     scenario: Scenario, policy: str, seed: int, result: RunResult
 ) -> Figures:
-    """Compute the figures of a run, without its warm-up."""
+    """Compute the figures of a run; those by band leave out the warm-up."""
     measured = [
         outcome
         for outcome in result.outcomes
@@ -155,13 +164,13 @@
         result.overfilled,
         sum(o.ran == "no" and o.starts > 0 for o in result.outcomes),
         result.run_twice,
-        sum(_is_wrong(outcome) for outcome in result.outcomes),
-        result.late_to_leaving,
+        sum(_has_wrong_output(outcome) for outcome in result.outcomes),
+        result.late_starts_on_draining,
     )
 
 
 def _is_in_window(scenario: Scenario, at: float) -> bool:
-    return scenario.duration - SHARE_WINDOW <= at < scenario.duration
+    return scenario.duration - SHARE_WINDOW_S <= at < scenario.duration
 
 
 def _ended_in_load(scenario: Scenario, outcome: Outcome) -> bool:
@@ -171,10 +180,10 @@
 
 
 def _is_past_limit(outcome: Outcome) -> bool:
-    return outcome.ended is None or outcome.ended > outcome.deadline + DEADLINE_SLACK
+    return outcome.ended is None or outcome.ended > outcome.deadline + DEADLINE_SLACK_S
 
 
-def _is_wrong(outcome: Outcome) -> bool:
+def _has_wrong_output(outcome: Outcome) -> bool:
     if outcome.error or outcome.order:
         return False
     return outcome.output_tokens != outcome.planned.output_tokens
@@ -183,25 +192,27 @@
 def _build_band(
     band: Band, outcomes: list[Outcome], parameters: EngineParameters
 ) -> BandFigures:
-    mine = [outcome for outcome in outcomes if outcome.planned.band is band]
-    whole = [o for o in mine if not o.error]
-    first = []
-    idle_first = []
+    in_band = [outcome for outcome in outcomes if outcome.planned.band is band]
+    completed = [o for o in in_band if not o.error]
+    first_tokens = []
+    idle_first_tokens = []
     slowdowns = []
-    for outcome in whole:
+    for outcome in completed:
         planned = outcome.planned
-        idle = compute_idle(planned.prompt_tokens, planned.output_tokens, parameters)
+        idle = compute_idle_times(
+            planned.prompt_tokens, planned.output_tokens, parameters
+        )
         assert outcome.first_token is not None and outcome.ended is not None
-        first.append(outcome.first_token - planned.at + NETWORK_TIME / 2)
-        idle_first.append(idle.first_token)
+        first_tokens.append(outcome.first_token - planned.at + NETWORK_TIME_S / 2)
+        idle_first_tokens.append(idle.first_token)
         slowdowns.append((outcome.ended - planned.at) / idle.duration)
-    idle_p95 = compute_quantile(idle_first, 0.95)
-    p95 = compute_quantile(first, 0.95)
+    idle_p95 = compute_quantile(idle_first_tokens, 0.95)
+    p95 = compute_quantile(first_tokens, 0.95)
     return BandFigures(
         band.label,
-        len(mine),
-        len(mine) - len(whole),
-        compute_quantile(first, 0.5),
+        len(in_band),
+        len(in_band) - len(completed),
+        compute_quantile(first_tokens, 0.5),
         p95,
         idle_p95,
         p95 / idle_p95 if idle_p95 else 0.0,
