--- a/src/scalebend/commands/errors.py
+++ b/src/scalebend/commands/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from scalebend.exceptions import ANSWERS
+from scalebend.exceptions import ERROR_RESPONSES
 
 HEAD = """\
 # Errors
@@ -29,6 +29,6 @@
     rows = [
         f"| `{kind.value}` | {error_response.status} | "
         f"{'yes' if error_response.retryable else 'no'} | {error_response.title} |"
-        for kind, error_response in ANSWERS.items()
+        for kind, error_response in ERROR_RESPONSES.items()
     ]
     return HEAD + "\n".join(rows) + "\n"
--- a/src/scalebend/commands/measure_changes.py
+++ b/src/scalebend/commands/measure_changes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from scalebend.edges.logs import configure_logs
-from scalebend.measuring.changes import measure_recovery, measure_spread
+from scalebend.measuring.changes import measure_change_propagation, measure_recovery
 from scalebend.models.settings import LogFormat, Logging
 
 INSTANCE_COUNTS = (9, 30, 90)
@@ -19,7 +19,7 @@
 def run(*, as_json: bool) -> int:
     """Measure and print two tables: propagation by instances, recovery by changes."""
     configure_logs(Logging(LogFormat.JSON, "critical"))
-    spreads = [measure_spread(size) for size in INSTANCE_COUNTS]
+    spreads = [measure_change_propagation(size) for size in INSTANCE_COUNTS]
     recoveries = []
     for count in CHANGE_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
--- a/src/scalebend/core/queueing.py
+++ b/src/scalebend/core/queueing.py
@@ -108,7 +108,7 @@
 
     def is_expired(self, now: float) -> bool:
         """Whether the work has been queued for its whole timeout."""
-        return now - self.arrived >= self.work.patience
+        return now - self.arrived >= self.work.timeout_s
 
 
 SortKey = tuple[float, ...]
@@ -221,7 +221,7 @@
         return min(self.tokens, own_tokens * len(customers))
 
     def _get_subqueue(self, work: Work) -> SubqueueKey:
-        is_unallocated = not work.held_elsewhere
+        is_unallocated = not work.is_reserved_elsewhere
         size_class = compute_size_class(work.prefill_tokens)
         match self._policy:
             case FirstCome():
--- a/src/scalebend/core/upstream_updates.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -151,7 +151,7 @@
 
     def _apply_crash(self, record: CrashRecord, now: float) -> None:
         """Merge the crash record of another instance, and forward what is new."""
-        if not record.ended:
+        if not record.upstreams:
             if self._entry.crashes.ledger.clear([record.fingerprint]):
                 self._spread_crash(record)
             return
