--- a/src/scalebend/commands/diff.py
+++ b/src/scalebend/commands/diff.py
@@ -1,4 +1,4 @@
-"""``scalebend diff``."""
+"""``scalebend diff``: compares a file with the configuration in force."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 import msgspec
 
 from scalebend.commands.check import print_faults
-from scalebend.commands.client import AnswerError, fetch, report
+from scalebend.commands.client import RequestError, fetch, report_error
 from scalebend.edges.settings_file import read_configuration
 from scalebend.exceptions import DocumentError
 from scalebend.models.configuration import AcceptedConfiguration, Configuration
 
 
 def run(*, file: Path, url: str, key: str, as_json: bool) -> int:
-    """Print the lines that would change; exit 1 when there are any."""
+    """Print a unified diff; return 1 if there are differences."""
     try:
         wanted = read_configuration(file)
     except DocumentError as error:
@@ -26,8 +26,8 @@
     path = f"{url}/admin/configuration"
     try:
         current = asyncio.run(fetch("GET", path, key, AcceptedConfiguration))
-    except AnswerError as error:
-        return report(error)
+    except RequestError as error:
+        return report_error(error)
     lines = list(
         difflib.unified_diff(
             _list_lines(current.configuration),
--- a/src/scalebend/commands/status.py
+++ b/src/scalebend/commands/status.py
@@ -1,4 +1,4 @@
-"""``scalebend status``."""
+"""``scalebend status``: prints the state of the cluster as one instance sees it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from scalebend.commands.client import AnswerError, fetch, report
+from scalebend.commands.client import RequestError, fetch, report_error
 from scalebend.edges.admin import Status
 
 
 def run(*, url: str, key: str, as_json: bool) -> int:
-    """Print what an instance knows."""
+    """Print the state that an instance reports."""
     try:
         status = asyncio.run(fetch("GET", f"{url}/admin/status", key, Status))
-    except AnswerError as error:
-        return report(error)
+    except RequestError as error:
+        return report_error(error)
     if as_json:
         print(msgspec.json.encode(status).decode())
         return 0
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -176,7 +176,7 @@
         return RunResult(
             list(self._outcomes.values()),
             sum(engine.model.used_tokens for engine in engines if engine.is_up),
-            sum(engine.model.refused_full for engine in engines),
+            sum(engine.model.memory_rejections for engine in engines),
             sum(count > 1 for count in self._orders_run.values()),
             self._work_done,
             len(self._outcomes),
@@ -502,7 +502,9 @@
         request = self._requests[start.request]
         memory = divide_up(request.memory_tokens, width)
         lead = group[0]
-        is_reserved = all(e.model.hold(start.attempt, memory) for e in group[1:])
+        is_reserved = all(
+            e.model.reserve_memory(start.attempt, memory) for e in group[1:]
+        )
         sequence = None
         if is_reserved:
             prefixes = build_prefixes(run.outcome.planned)
@@ -513,7 +515,7 @@
                 priority=start.priority,
                 now=self.now,
                 prefixes=prefixes,
-                speed=width,
+                group_size=width,
                 is_prefill_only=start.phase is Phase.PREFILL,
             )
         if sequence is None:
@@ -665,7 +667,7 @@
             prefill_rate=parameters.prefill_rate,
             step_time=parameters.step_time,
             running=list(engine.model.list_running()),
-            cache_events=engine.model.take_cache_events(),
+            cache_events=engine.model.pop_cache_events(),
         )
         self._announce(announcement, self.scenario.report_delay)
 
--- a/src/scalebend/measuring/results.py
+++ b/src/scalebend/measuring/results.py
@@ -114,7 +114,7 @@
         output_tokens=output,
         priority=0,
         now=0.0,
-        speed=speed,
+        group_size=speed,
     )
     first_tokens = 0.0
     now = 0.0
