--- a/src/scalebend/edges/__init__.py
+++ b/src/scalebend/edges/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that touches sockets, timers or the process environment."""
+"""Input and output: sockets, timers, files and the process environment."""
--- a/src/scalebend/edges/gossip.py
+++ b/src/scalebend/edges/gossip.py
@@ -1,4 +1,4 @@
-"""Heartbeats and rumors over UDP."""
+"""UDP transport of the gossip protocol."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 logger = structlog.get_logger(__name__)
 
-SIGNATURE_SIZE = 16
+SIGNATURE_BYTES = 16
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Datagram)
@@ -39,24 +39,24 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Take a datagram (called by asyncio); one that is not ours is dropped."""
+        """Decode a datagram (called by asyncio); an invalid one is dropped."""
         if self._key is not None:
-            signature, data = data[:SIGNATURE_SIZE], data[SIGNATURE_SIZE:]
+            signature, data = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
             if not hmac.compare_digest(signature, _sign(self._key, data)):
                 logger.warning("datagram refused", source=str(addr))
                 return
         try:
             datagram = _DECODER.decode(data)
         except msgspec.MsgspecError:
-            logger.warning("datagram not understood", source=str(addr))
+            logger.warning("datagram could not be decoded", source=str(addr))
             return
         self._receive(datagram)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what the network reports: silence is judged by heartbeats."""
+        """Ignore network errors: failures are detected by missed heartbeats."""
 
     def send(self, address: str, datagram: Datagram) -> None:
-        """Send a datagram, at most once."""
+        """Send a datagram; delivery is not guaranteed."""
         if self._transport is None or self._transport.is_closing():
             return
         data = _ENCODER.encode(datagram)
@@ -67,14 +67,14 @@
 
 
 def _sign(key: bytes, data: bytes) -> bytes:
-    return hmac.new(key, data, hashlib.sha256).digest()[:SIGNATURE_SIZE]
+    return hmac.new(key, data, hashlib.sha256).digest()[:SIGNATURE_BYTES]
 
 
 @contextlib.asynccontextmanager
 async def open_gossip(
     address: str, receive: Receiver, key: bytes | None
 ) -> AsyncIterator[GossipSocket]:
-    """Open the socket at ``address``."""
+    """Open a gossip socket bound to ``address``."""
     loop = asyncio.get_running_loop()
     transport, socket = await loop.create_datagram_endpoint(
         lambda: GossipSocket(receive, key), local_addr=parse_address(address)
--- a/src/scalebend/edges/logs.py
+++ b/src/scalebend/edges/logs.py
@@ -1,4 +1,4 @@
-"""Set up structured logs."""
+"""Configuration of structured logs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def configure_logs(options: Logging) -> None:
-    """Write log lines as JSON or for a console, from a level upwards."""
+    """Write log lines of the configured level and above to standard error."""
     level = logging.getLevelName(options.level.upper())
     renderer: structlog.types.Processor = structlog.processors.JSONRenderer()
     if options.format is LogFormat.CONSOLE:
@@ -32,19 +32,19 @@
     )
 
 
-def _encode(event: object, **options: object) -> str:
+def _encode_line(event: object, **options: object) -> str:
     return msgspec.json.encode(event, enc_hook=str).decode()
 
 
 def configure_bounded_logs(level_name: str) -> None:
-    """Write log lines as JSON to standard output, without ever blocking on it."""
+    """Write log lines as JSON to standard output; drop lines instead of blocking."""
     level = logging.getLevelName(level_name.upper())
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            structlog.processors.JSONRenderer(serializer=_encode),
+            structlog.processors.JSONRenderer(serializer=_encode_line),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.WriteLoggerFactory(
--- a/src/scalebend/edges/metrics.py
+++ b/src/scalebend/edges/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics over statsd. The names are listed in docs/operators/metrics.md."""
+"""Metrics over statsd; docs/operators/metrics.md lists their names."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Metrics(Protocol):
-    """The statsd calls that scalebend uses; times in milliseconds."""
+    """The part of the statsd client that scalebend uses; durations in ms."""
 
     def incr(self, name: str, count: int = 1) -> None:
         """Add to a counter."""
@@ -23,7 +23,7 @@
 
 
 class NoMetrics:
-    """Records nothing: no statsd address is set."""
+    """Discards all metrics; used when no statsd address is configured."""
 
     def incr(self, name: str, count: int = 1) -> None:
         """Ignore a counter."""
@@ -36,7 +36,7 @@
 
 
 def build_metrics(options: Statsd | None) -> Metrics:
-    """Return a statsd client, or one that records nothing."""
+    """Return a statsd client, or one that discards all metrics."""
     if options is None:
         return NoMetrics()
     client: Metrics = statsd.StatsClient(
--- a/src/scalebend/edges/peers.py
+++ b/src/scalebend/edges/peers.py
@@ -1,8 +1,8 @@
-"""Typed messages between instances: one gRPC stream in each direction.
+"""Transport of messages between instances: one gRPC stream in each direction.
 
 A stream carries frames of several messages, encoded with MessagePack. Delivery is
-best effort: the core repeats what matters, so a frame that is lost with its stream
-is not sent again here.
+best effort: the core retransmits where needed, so a frame that is lost with its
+stream is not sent again here.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 SERVICE = "scalebend.Peers"
 METHOD = "Exchange"
-MOST_QUEUED = 20_000
-MOST_PER_FRAME = 512
-RECONNECT_DELAY = 0.1
-CONNECT_TIMEOUT = 1.0
-LARGEST_FRAME = 64 * 1024 * 1024
+MAX_QUEUED_MESSAGES = 20_000
+MAX_FRAME_MESSAGES = 512
+RECONNECT_DELAY_S = 0.1
+CONNECT_TIMEOUT_S = 1.0
+MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(list[Envelope])
@@ -38,8 +38,8 @@
 Receiver = Callable[[InstanceId, PeerMessage], None]
 
 _OPTIONS = [
-    ("grpc.max_receive_message_length", LARGEST_FRAME),
-    ("grpc.max_send_message_length", LARGEST_FRAME),
+    ("grpc.max_receive_message_length", MAX_FRAME_BYTES),
+    ("grpc.max_send_message_length", MAX_FRAME_BYTES),
     ("grpc.keepalive_time_ms", 2_000),
     ("grpc.keepalive_timeout_ms", 1_500),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -60,13 +60,13 @@
 
 
 class _Link:
-    """Outgoing stream to one instance."""
+    """Outgoing stream to one instance; reconnects after a failure."""
 
     def __init__(self, me: InstanceId, address: str, tls: Tls | None) -> None:
         self.address = address
         self._me = me
         self._tls = tls
-        self._queue: asyncio.Queue[PeerMessage] = asyncio.Queue(MOST_QUEUED)
+        self._queue: asyncio.Queue[PeerMessage] = asyncio.Queue(MAX_QUEUED_MESSAGES)
         self.task = asyncio.create_task(self._run())
 
     def send(self, message: PeerMessage) -> None:
@@ -76,22 +76,22 @@
 
     async def _run(self) -> None:
         while True:
-            # Other errors than the link's own end the task loudly.
+            # Only connection failures are retried; any other error ends the task.
             with contextlib.suppress(grpc.RpcError, TimeoutError):
                 async with _open_channel(self.address, self._tls) as channel:
-                    await asyncio.wait_for(channel.channel_ready(), CONNECT_TIMEOUT)
+                    await asyncio.wait_for(channel.channel_ready(), CONNECT_TIMEOUT_S)
                     call = channel.stream_unary(
                         f"/{SERVICE}/{METHOD}",
                         request_serializer=_identity,
                         response_deserializer=_identity,
                     )
                     await call(self._generate_frames())
-            await asyncio.sleep(RECONNECT_DELAY)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _generate_frames(self) -> AsyncIterator[bytes]:
         while True:
             messages = [await self._queue.get()]
-            while not self._queue.empty() and len(messages) < MOST_PER_FRAME:
+            while not self._queue.empty() and len(messages) < MAX_FRAME_MESSAGES:
                 messages.append(self._queue.get_nowait())
             frame = _ENCODER.encode([Envelope(self._me, m) for m in messages])
             yield frame
@@ -102,14 +102,16 @@
     if tls is None:
         channel = aio.insecure_channel(address, options=_OPTIONS)
     else:
-        channel = aio.secure_channel(address, _load_client(tls), options=_OPTIONS)
+        channel = aio.secure_channel(
+            address, _load_client_credentials(tls), options=_OPTIONS
+        )
     try:
         yield channel
     finally:
         await channel.close()
 
 
-def _load_client(tls: Tls) -> grpc.ChannelCredentials:
+def _load_client_credentials(tls: Tls) -> grpc.ChannelCredentials:
     authority = Path(tls.authority).read_bytes() if tls.authority else None
     key = Path(tls.key).read_bytes()
     return grpc.ssl_channel_credentials(
@@ -117,14 +119,14 @@
     )
 
 
-def _load_server(tls: Tls) -> grpc.ServerCredentials:
+def _load_server_credentials(tls: Tls) -> grpc.ServerCredentials:
     pair = (Path(tls.key).read_bytes(), Path(tls.certificate).read_bytes())
     authority = Path(tls.authority).read_bytes() if tls.authority else None
     return grpc.ssl_server_credentials([pair], authority, authority is not None)
 
 
 class PeerTransport:
-    """Links to other instances, opened when first needed."""
+    """Outgoing links to other instances, opened on first use."""
 
     def __init__(self, me: InstanceId, tls: Tls | None) -> None:
         self._me = me
@@ -132,7 +134,7 @@
         self._links: dict[InstanceId, _Link] = {}
 
     def send(self, instance: InstanceId, address: str, message: PeerMessage) -> None:
-        """Queue a message; the oldest is dropped when too many wait."""
+        """Queue a message; a full queue drops its oldest message."""
         link = self._links.get(instance)
         if link is not None and link.address != address:
             link.task.cancel()
@@ -150,20 +152,22 @@
 
 
 def _build_handler(receive: Receiver) -> grpc.GenericRpcHandler:
-    async def take_frames(frames: AsyncIterator[bytes], context: Any) -> bytes:
+    async def receive_frames(frames: AsyncIterator[bytes], context: Any) -> bytes:
         async for frame in frames:
             try:
                 envelopes = _DECODER.decode(frame)
             except msgspec.MsgspecError as error:
                 logger.warning("frame refused", error=str(error))
-                await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "bad frame")
+                await context.abort(
+                    grpc.StatusCode.INVALID_ARGUMENT, "the frame cannot be decoded"
+                )
                 raise
             for envelope in envelopes:
                 receive(envelope.sender, envelope.message)
         return b""
 
     method = grpc.stream_unary_rpc_method_handler(
-        take_frames,
+        receive_frames,
         request_deserializer=_identity,
         response_serializer=_identity,
     )
@@ -174,13 +178,13 @@
 async def serve_peers(
     me: InstanceId, address: str, tls: Tls | None, receive: Receiver
 ) -> AsyncIterator[PeerTransport]:
-    """Listen for other instances and offer links to them."""
+    """Accept messages of other instances; yield the transport to send to them."""
     server = aio.server(options=_OPTIONS)
     server.add_generic_rpc_handlers((_build_handler(receive),))
     if tls is None:
         bound = server.add_insecure_port(address)
     else:
-        bound = server.add_secure_port(address, _load_server(tls))
+        bound = server.add_secure_port(address, _load_server_credentials(tls))
     if not bound:
         raise OSError(f"cannot listen on {address}")
     await server.start()
--- a/src/scalebend/edges/settings_file.py
+++ b/src/scalebend/edges/settings_file.py
@@ -1,4 +1,4 @@
-"""Read and check an instance's settings and configuration files."""
+"""Reads and validates settings and configuration files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Return the settings in ``path``; raise :class:`DocumentError` with all faults."""
+    """Return the settings in ``path``; :class:`DocumentError` lists all faults."""
     settings = decode_document(
         _read(path, ErrorKind.INVALID_SETTINGS), Settings, ErrorKind.INVALID_SETTINGS
     )
@@ -24,13 +24,13 @@
 
 
 def read_configuration(path: Path) -> Configuration:
-    """Return the configuration in ``path``; raise with all faults."""
+    """Return the configuration in ``path``; :class:`DocumentError` lists all faults."""
     data = _read(path, ErrorKind.INVALID_CONFIGURATION)
     return parse_configuration(data)
 
 
 def parse_configuration(data: bytes) -> Configuration:
-    """Return the configuration in ``data``; raise with all faults."""
+    """Return the configuration in ``data``; :class:`DocumentError` lists all faults."""
     configuration = decode_document(
         data, Configuration, ErrorKind.INVALID_CONFIGURATION
     )
@@ -39,7 +39,7 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check what a schema cannot say."""
+    """Check rules that the types do not express; raise with all faults."""
     faults = []
     addresses = [
         ("$.listen.callers", settings.listen.callers),
@@ -92,7 +92,7 @@
 
 
 def check_configuration(configuration: Configuration) -> None:
-    """Check what a schema cannot say."""
+    """Check rules that the types do not express; raise with all faults."""
     faults = []
     seen_keys: set[str] = set()
     customers = configuration.customers
@@ -106,7 +106,9 @@
         faults += _check_hashes(f"{path}.key_hashes", customer.key_hashes)
         for key in customer.key_hashes:
             if key in seen_keys:
-                faults.append(Fault(f"{path}.key_hashes", "expected unshared keys"))
+                faults.append(
+                    Fault(f"{path}.key_hashes", "expected keys used only once")
+                )
             seen_keys.add(key)
         for name in customer.limits.__struct_fields__:
             value = getattr(customer.limits, name)
@@ -121,7 +123,7 @@
             faults.append(Fault(path, "expected a number above 0"))
         if model.replicas < 0:
             path = f"$.models[{number}].replicas"
-            faults.append(Fault(path, "expected a number from 0"))
+            faults.append(Fault(path, "expected a number of at least 0"))
     if configuration.weight_store_loads_per_minute <= 0:
         path = "$.weight_store_loads_per_minute"
         faults.append(Fault(path, "expected a number above 0"))
@@ -131,7 +133,7 @@
 
 def _check_unique(path: str, names: Sequence[str]) -> list[Fault]:
     return [
-        Fault(f"{path}[{number}]", f"expected a name that is not used before: {name}")
+        Fault(f"{path}[{number}]", f"expected a unique, non-empty name: {name}")
         for number, name in enumerate(names)
         if name in names[:number] or not name
     ]
--- a/src/scalebend/edges/tls.py
+++ b/src/scalebend/edges/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings; with an authority both sides show a certificate."""
+"""TLS contexts from settings; an authority requires certificates on both sides."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def build_client_context(tls: Tls | None) -> ssl.SSLContext | None:
-    """Return the context of outgoing links; ``None`` without TLS."""
+    """Return the context of outgoing connections; ``None`` without TLS."""
     if tls is None:
         return None
     context = ssl.create_default_context(ssl.Purpose.SERVER_AUTH, cafile=tls.authority)
