--- a/src/scalebend/commands/apply.py
+++ b/src/scalebend/commands/apply.py
@@ -11,7 +11,7 @@
 
 from scalebend.commands.check import print_faults
 from scalebend.commands.client import AnswerError, fetch, report
-from scalebend.edges.admin import ApplyAnswer
+from scalebend.edges.admin import ApplyResponse
 from scalebend.edges.settings_file import read_configuration
 from scalebend.exceptions import DocumentError
 from scalebend.models.configuration import (
@@ -58,7 +58,7 @@
     base: int | None,
     change: ChangeId,
     operator: str,
-) -> ApplyAnswer:
+) -> ApplyResponse:
     path = f"{url}/admin/configuration"
     if base is None:
         current = await fetch("GET", path, key, AcceptedConfiguration)
@@ -71,4 +71,4 @@
     body = ConfigurationChange(
         ConfigurationVersion(base), change, configuration, operator
     )
-    return await fetch("POST", path, key, ApplyAnswer, msgspec.json.encode(body))
+    return await fetch("POST", path, key, ApplyResponse, msgspec.json.encode(body))
--- a/src/scalebend/commands/demo.py
+++ b/src/scalebend/commands/demo.py
@@ -17,7 +17,7 @@
 
 from scalebend.commands.ask import print_stream
 from scalebend.commands.client import fetch
-from scalebend.edges.admin import ApplyAnswer
+from scalebend.edges.admin import ApplyResponse
 from scalebend.edges.http_server import drain, serve_instance
 from scalebend.edges.logs import configure_logs
 from scalebend.edges.runtime import Runtime
@@ -216,7 +216,7 @@
         ConfigurationVersion(0), ChangeId("demo"), configuration, "demo"
     )
     path = f"{url}/admin/configuration"
-    await fetch("POST", path, "", ApplyAnswer, msgspec.json.encode(change))
+    await fetch("POST", path, "", ApplyResponse, msgspec.json.encode(change))
 
 
 async def _measure_idle(session: aiohttp.ClientSession, url: str) -> float:
--- a/src/scalebend/commands/measure_overhead.py
+++ b/src/scalebend/commands/measure_overhead.py
@@ -20,7 +20,7 @@
 from aiohttp import web
 
 from scalebend.commands.client import fetch
-from scalebend.edges.admin import ApplyAnswer
+from scalebend.edges.admin import ApplyResponse
 from scalebend.edges.http_server import serve_instance
 from scalebend.edges.logs import configure_logs
 from scalebend.edges.runtime import Runtime
@@ -307,4 +307,4 @@
         ConfigurationVersion(0), ChangeId("overhead"), configuration
     )
     path = f"{url}/admin/configuration"
-    await fetch("POST", path, "", ApplyAnswer, msgspec.json.encode(change))
+    await fetch("POST", path, "", ApplyResponse, msgspec.json.encode(change))
--- a/src/scalebend/commands/run.py
+++ b/src/scalebend/commands/run.py
@@ -41,8 +41,8 @@
     async with serve_instance(settings) as runtime:
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, runtime.stopped.set)
-        await runtime.stopped.wait()
+            loop.add_signal_handler(number, runtime.stop_requested.set)
+        await runtime.stop_requested.wait()
         is_clean = await drain(runtime, settings.limits.drain_time)
         logger.info("instance stops", clean=is_clean)
     return 0 if is_clean else 1
--- a/src/scalebend/commands/status.py
+++ b/src/scalebend/commands/status.py
@@ -28,7 +28,7 @@
     for item in status.instances:
         print(
             f"  {item.instance:<20} {item.availability_zone:<14} {item.state:<8} "
-            f"version {item.version:<6} heard {item.heard:.1f} s ago"
+            f"version {item.version:<6} heard {item.last_contact_age_s:.1f} s ago"
         )
     for upstream in status.upstreams:
         print(
--- a/src/scalebend/edges/admin.py
+++ b/src/scalebend/edges/admin.py
@@ -1,4 +1,4 @@
-"""HTTP for operators: configuration, status, drain."""
+"""HTTP endpoints for operators: configuration, status and draining."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from scalebend.utils.documents import decode_document
 from scalebend.utils.keys import is_known_key
 
-APPLY_TIMEOUT = 6.0
+APPLY_TIMEOUT_S = 6.0
 
 
 class InstanceStatus(msgspec.Struct, frozen=True):
-    """One instance in ``status``; ``heard`` in seconds ago."""
+    """One instance in ``status``; ``last_contact_age_s`` is encoded as ``heard``."""
 
     instance: InstanceId
     availability_zone: str
     state: str
     version: ConfigurationVersion
-    heard: float
+    last_contact_age_s: float = msgspec.field(name="heard")
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What an instance knows."""
+    """The state of the system as one instance sees it."""
 
     instance: InstanceId
     is_ready: bool
@@ -66,14 +66,14 @@
     upstreams: list[UpstreamStatus]
 
 
-class ApplyAnswer(msgspec.Struct, frozen=True):
-    """The change was accepted as ``version``."""
+class ApplyResponse(msgspec.Struct, frozen=True):
+    """The response to a change that was accepted as ``version``."""
 
     version: ConfigurationVersion
 
 
-class ConflictAnswer(msgspec.Struct, frozen=True):
-    """The change lost; ``winner_*`` tell to whom."""
+class ConflictResponse(msgspec.Struct, frozen=True):
+    """The response to a conflicting change; ``winner_*`` name the accepted one."""
 
     type: str
     title: str
@@ -86,7 +86,7 @@
 
 
 def build_status(runtime: Runtime) -> Status:
-    """Collect what this instance knows now."""
+    """Return the status as this instance sees it now."""
     instance = runtime.instance
     now = runtime.now()
     readiness = instance.read_readiness(now)
@@ -137,13 +137,13 @@
 
 
 class AdminHandlers:
-    """Requests of operators."""
+    """Handlers of the ``/admin`` endpoints."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
 
     def add_routes(self, app: web.Application) -> None:
-        """Add what operators use."""
+        """Register the operators' endpoints."""
         app.router.add_get("/admin/status", self._show_status)
         app.router.add_get("/admin/configuration", self._show_configuration)
         app.router.add_post("/admin/configuration", self._apply)
@@ -155,7 +155,7 @@
             if request.remote and ipaddress.ip_address(request.remote).is_loopback:
                 return
             raise RequestError(
-                "no operator key is set: only loopback may do this",
+                "no operator key is configured: only loopback connections are allowed",
                 kind=ErrorKind.FORBIDDEN,
             )
         if not is_known_key(read_key(request), hashes):
@@ -163,11 +163,11 @@
 
     async def _show_status(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        return _answer(build_status(self._runtime))
+        return _build_response(build_status(self._runtime))
 
     async def _show_configuration(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        return _answer(self._runtime.instance.configuration)
+        return _build_response(self._runtime.instance.configuration)
 
     async def _apply(self, request: web.Request) -> web.Response:
         self._check_operator(request)
@@ -177,17 +177,18 @@
         check_configuration(change.configuration)
         if not change.change:
             raise RequestError("$.change: expected a change id")
-        match await self._runtime.propose(ApplyConfiguration(change), APPLY_TIMEOUT):
+        match await self._runtime.propose(ApplyConfiguration(change), APPLY_TIMEOUT_S):
             case Accepted(version):
-                return _answer(ApplyAnswer(version))
+                return _build_response(ApplyResponse(version))
             case Conflict(winner, base):
                 error = ScalebendError(
-                    f"base {base} is not the newest: {winner.operator or 'somebody'} "
-                    f"applied change {winner.change} as version {winner.version}",
+                    f"base {base} is not the current version: "
+                    f"{winner.operator or 'another operator'} applied change "
+                    f"{winner.change} as version {winner.version}",
                     kind=ErrorKind.CONFIGURATION_CONFLICT,
                 )
-                return _answer(
-                    ConflictAnswer(
+                return _build_response(
+                    ConflictResponse(
                         error.kind.value,
                         error.answer.title,
                         error.answer.status,
@@ -201,7 +202,7 @@
                 )
             case _:
                 raise ScalebendError(
-                    "no quorum answered in time; the change may still be accepted: "
+                    "no quorum replied in time; the change may still be accepted: "
                     "send it again with the same change id",
                     kind=ErrorKind.NO_QUORUM,
                     ran=Ran.UNKNOWN,
@@ -210,11 +211,11 @@
 
     async def _drain(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        self._runtime.stopped.set()
+        self._runtime.stop_requested.set()
         return web.Response(status=202)
 
 
-def _answer(document: msgspec.Struct, status: int = 200) -> web.Response:
+def _build_response(document: msgspec.Struct, status: int = 200) -> web.Response:
     return web.Response(
         status=status,
         body=msgspec.json.encode(document),
--- a/src/scalebend/edges/authorization.py
+++ b/src/scalebend/edges/authorization.py
@@ -1,13 +1,13 @@
-"""The key that a request carries."""
+"""Reads the API key of a request."""
 
 from __future__ import annotations
 
 from aiohttp import web
 
-BEARER = "Bearer "
+BEARER_PREFIX = "Bearer "
 
 
 def read_key(request: web.Request) -> str:
-    """Return the key of the ``Authorization`` header, or an empty text."""
+    """Return the bearer key in the ``Authorization`` header, or an empty string."""
     header = request.headers.get("Authorization", "")
-    return header[len(BEARER) :] if header.startswith(BEARER) else ""
+    return header[len(BEARER_PREFIX) :] if header.startswith(BEARER_PREFIX) else ""
--- a/src/scalebend/edges/control_pump.py
+++ b/src/scalebend/edges/control_pump.py
@@ -1,4 +1,4 @@
-"""Carries out what a control member wants written, in the order that Raft needs."""
+"""Persists the output of a control member before it is sent and applied."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def pump_control(
     member: ControlMember, journal: Journal, finish: Finish, now: float
 ) -> None:
-    """Write, sync, and only then let ``finish`` send and apply, until all is done."""
+    """Persist and sync what ``member`` wrote before ``finish`` sends and applies it."""
     while True:
         ready = member.take_ready(now)
         if ready.is_empty and not member.has_outgoing:
--- a/src/scalebend/edges/exchange.py
+++ b/src/scalebend/edges/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request in progress: its attempts on upstreams and its answer."""
+"""One caller's request in progress: its attempts at upstreams and its response."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from scalebend.edges.problems import build_problem
 from scalebend.edges.sse import (
     EventFramer,
-    GarbledStreamError,
+    InvalidStreamError,
     Usage,
     list_payloads,
     read_usage,
@@ -39,17 +39,17 @@
 
 logger = structlog.get_logger(__name__)
 
-CLOSE_TIMEOUT = 1.0
-LARGEST_ANSWER = 64 * 1024 * 1024
+CLOSE_TIMEOUT_S = 1.0
+FIRST_READ_BYTES = 64 * 1024 * 1024
 EVENT_STREAM = "text/event-stream"
 
 
-class _CallerGoneError(Exception):
+class _CallerDisconnectedError(Exception):
     """The caller closed its connection."""
 
 
 class OutgoingCall(msgspec.Struct, frozen=True):
-    """What is sent to the upstream, besides what identifies the attempt."""
+    """The request to the upstream, without the headers that identify the attempt."""
 
     method: str
     path: str
@@ -58,22 +58,22 @@
 
 
 class AttemptReporter(msgspec.Struct, frozen=True):
-    """Where an exchange reports what happens to an attempt.
+    """Callbacks through which an exchange reports the progress of an attempt.
 
-    ``asked_for_pause`` takes the seconds for which an upstream wants nothing.
+    ``backoff_requested`` takes the seconds of an upstream's ``Retry-After``.
     ``scheme`` is ``http`` or ``https``, for all upstreams.
     """
 
     started: Callable[[AttemptId], None]
     ended: Callable[[AttemptId, AttemptResult], None]
-    caller_left: Callable[[RequestId], None]
-    asked_for_pause: Callable[[UpstreamId, float], None]
-    find: Callable[[UpstreamId], UpstreamRecord | None]
+    caller_disconnected: Callable[[RequestId], None]
+    backoff_requested: Callable[[UpstreamId, float], None]
+    find_upstream: Callable[[UpstreamId], UpstreamRecord | None]
     scheme: str = "http"
 
 
 class Exchange:
-    """Runs the attempts of one request and writes the caller's answer."""
+    """Runs the attempts of one request and writes the response to the caller."""
 
     def __init__(
         self,
@@ -100,10 +100,10 @@
         self._task: asyncio.Task[None] | None = None
         self._start: StartAttempt | None = None
 
-    # Orders of the core
+    # Actions of the core
 
     def start(self, start: StartAttempt) -> None:
-        """Send the request to the granted replicas."""
+        """Start an attempt at the granted replicas."""
         self._start = start
         if start.phase is not Phase.DECODE:
             self._framer = EventFramer()
@@ -111,34 +111,34 @@
         self._task = asyncio.create_task(self._run(is_resumed=False))
 
     def resume(self) -> None:
-        """Fetch the rest of the attempt's stream over a new link."""
+        """Fetch the rest of the attempt's stream over a new connection."""
         self._framer.restart()
         self._task = asyncio.create_task(self._run(is_resumed=True))
 
     def abort(self) -> None:
-        """Close the link of the current attempt."""
+        """Close the connection of the current attempt."""
         if self._task is not None and self._task is not asyncio.current_task():
             self._task.cancel()
         self._task = None
 
     def conclude(self, error: ScalebendError | None) -> None:
-        """The request is over."""
+        """Complete ``concluded`` with the outcome of the request."""
         if not self.concluded.done():
             self.concluded.set_result(error)
 
-    # Caller's side
+    # Response to the caller
 
     async def write_error(self, error: ScalebendError) -> None:
-        """End an answer that had begun with the error as its last event."""
+        """End a response that has begun, with the error as its last event."""
         assert self.response is not None
         problem = build_problem(error, self.request.request)
         data = b"event: error\ndata: " + msgspec.json.encode(problem) + b"\n\n"
         with contextlib.suppress(ConnectionError, TimeoutError):
-            await asyncio.wait_for(self.response.write(data), CLOSE_TIMEOUT)
-            await asyncio.wait_for(self.response.write_eof(), CLOSE_TIMEOUT)
+            await asyncio.wait_for(self.response.write(data), CLOSE_TIMEOUT_S)
+            await asyncio.wait_for(self.response.write_eof(), CLOSE_TIMEOUT_S)
 
-    def read_stored_answer(self) -> StoredResponse | None:
-        """The whole answer as far as it was collected, to be kept with a claim."""
+    def build_stored_response(self) -> StoredResponse | None:
+        """Return the response to store with a claim; a streamed one has no body."""
         if isinstance(self.response, web.Response):
             body = self.response.body
             data = body if isinstance(body, bytes) else None
@@ -149,52 +149,62 @@
             return StoredResponse(200, EVENT_STREAM, None)
         return None
 
-    # Upstream's side
+    # Attempts at upstreams
 
     async def _run(self, *, is_resumed: bool) -> None:
         assert self._start is not None
         start = self._start
-        lead = self._reporter.find(start.upstreams[0])
+        lead = self._reporter.find_upstream(start.upstreams[0])
         if lead is None:
-            result: AttemptResult = NeverStarted("the upstream is gone")
+            result: AttemptResult = NeverStarted("the upstream is no longer registered")
         else:
             try:
-                result = await self._attempt(start, lead, is_resumed=is_resumed)
-            except _CallerGoneError:
-                self._reporter.caller_left(self.request.request)
+                result = await self._run_attempt(start, lead, is_resumed=is_resumed)
+            except _CallerDisconnectedError:
+                self._reporter.caller_disconnected(self.request.request)
                 return
             except Exception as error:
-                # Without a result the request would hang until its time limit.
+                # Without a result the request would hang until its deadline.
                 logger.exception("attempt failed", attempt=start.attempt)
                 detail = f"internal: {type(error).__name__}"
                 result = Interrupted(detail, may_have_crashed=False)
         self._task = None
         self._reporter.ended(start.attempt, result)
 
-    async def _attempt(
+    async def _run_attempt(
         self, start: StartAttempt, lead: UpstreamRecord, *, is_resumed: bool
     ) -> AttemptResult:
-        has_helpers = len(start.upstreams) > 1
+        has_prefill_helpers = len(start.upstreams) > 1
         try:
-            if has_helpers and not is_resumed and not await self._hold_helpers(start):
-                return NeverStarted("a helper refused", 1.0, may_hold_memory=True)
-            async with self._open(start, lead, is_resumed=is_resumed) as answer:
-                pause = _read_retry_after(answer)
-                if answer.status == 503 and pause is not None:
-                    self._reporter.asked_for_pause(start.upstreams[0], pause)
-                return await self._read(start, answer, is_resumed=is_resumed)
+            if (
+                has_prefill_helpers
+                and not is_resumed
+                and not await self._reserve_helpers(start)
+            ):
+                return NeverStarted(
+                    "a prefill helper rejected the reservation",
+                    1.0,
+                    may_hold_memory=True,
+                )
+            async with self._send_request(
+                start, lead, is_resumed=is_resumed
+            ) as response:
+                backoff_s = _read_retry_after(response)
+                if response.status == 503 and backoff_s is not None:
+                    self._reporter.backoff_requested(start.upstreams[0], backoff_s)
+                return await self._read_response(start, response, is_resumed=is_resumed)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            # Not a byte of the request left: it cannot have run.
+            # Nothing of the request was sent, so it cannot have run.
             detail = f"cannot connect: {error}"
             if is_resumed:
                 return Interrupted(detail)
-            return NeverStarted(detail, may_hold_memory=has_helpers)
-        except GarbledStreamError as error:
+            return NeverStarted(detail, may_hold_memory=has_prefill_helpers)
+        except InvalidStreamError as error:
             return InvalidResponse(str(error))
         except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
-            return Interrupted(f"link lost: {type(error).__name__}")
+            return Interrupted(f"connection lost: {type(error).__name__}")
 
-    def _open(
+    def _send_request(
         self, start: StartAttempt, lead: UpstreamRecord, *, is_resumed: bool
     ) -> contextlib.AbstractAsyncContextManager[aiohttp.ClientResponse]:
         base = f"{self._reporter.scheme}://{lead.announcement.address}"
@@ -220,78 +230,80 @@
 
     def _build_export_url(self, start: StartAttempt) -> str:
         assert start.source is not None
-        source = self._reporter.find(start.source)
+        source = self._reporter.find_upstream(start.source)
         address = source.announcement.address if source is not None else ""
         return f"{self._reporter.scheme}://{address}/v1/requests/{start.attempt}/kv"
 
-    async def _hold_helpers(self, start: StartAttempt) -> bool:
+    async def _reserve_helpers(self, start: StartAttempt) -> bool:
         parts = len(start.upstreams)
         memory = divide_up(self.request.memory_tokens, parts)
         body = msgspec.json.encode({"memory_tokens": memory})
         for upstream in start.upstreams[1:]:
-            record = self._reporter.find(upstream)
+            record = self._reporter.find_upstream(upstream)
             if record is None:
                 return False
             base = f"{self._reporter.scheme}://{record.announcement.address}"
             url = f"{base}/v1/requests/{start.attempt}/memory"
-            async with self._session.put(url, data=body) as answer:
-                if answer.status >= 300:
+            async with self._session.put(url, data=body) as response:
+                if response.status >= 300:
                     return False
         return True
 
-    async def _read(
-        self, start: StartAttempt, answer: aiohttp.ClientResponse, *, is_resumed: bool
+    async def _read_response(
+        self, start: StartAttempt, response: aiohttp.ClientResponse, *, is_resumed: bool
     ) -> AttemptResult:
         if self.request.service is not None:
-            return await self._read_service(start, answer)
-        if answer.status in (429, 503) and not is_resumed:
-            return await self._read_refusal(answer)
-        if answer.status >= 500 or (is_resumed and answer.status >= 400):
-            # One that no longer knows an attempt has started again since.
-            detail = f"the upstream answered {answer.status}"
+            return await self._read_service_response(start, response)
+        if response.status in (429, 503) and not is_resumed:
+            return await self._read_rejection(response)
+        if response.status >= 500 or (is_resumed and response.status >= 400):
+            # An upstream that does not know the attempt has restarted since.
+            detail = f"the upstream returned status {response.status}"
             return Interrupted(detail, may_have_crashed=is_resumed)
-        if answer.status >= 400:
-            await self._pass_whole(answer)
+        if response.status >= 400:
+            await self._forward_whole(response)
             return Completed()
-        if answer.content_type != EVENT_STREAM:
-            return InvalidResponse(f"the upstream answered {answer.content_type}")
-        return await self._read_events(start, answer)
+        if response.content_type != EVENT_STREAM:
+            return InvalidResponse(
+                f"the upstream returned content type {response.content_type}"
+            )
+        return await self._read_events(start, response)
 
-    async def _read_refusal(self, answer: aiohttp.ClientResponse) -> AttemptResult:
-        body = await answer.content.read(4096)
+    async def _read_rejection(self, response: aiohttp.ClientResponse) -> AttemptResult:
+        body = await response.content.read(4096)
         with contextlib.suppress(msgspec.MsgspecError):
             if msgspec.json.decode(body, type=_UpstreamProblem).ran == "no":
-                retry_after = _read_retry_after(answer) or 0.0
-                return NeverStarted("the upstream refused", retry_after)
-        detail = f"the upstream answered {answer.status}"
+                retry_after = _read_retry_after(response) or 0.0
+                return NeverStarted("the upstream rejected the request", retry_after)
+        detail = f"the upstream returned status {response.status}"
         return Interrupted(detail, may_have_crashed=False)
 
-    async def _read_service(
-        self, start: StartAttempt, answer: aiohttp.ClientResponse
+    async def _read_service_response(
+        self, start: StartAttempt, response: aiohttp.ClientResponse
     ) -> AttemptResult:
         self._reporter.started(start.attempt)
-        await self._pass_whole(answer)
+        await self._forward_whole(response)
         return Completed()
 
-    async def _pass_whole(self, answer: aiohttp.ClientResponse) -> None:
-        body = await answer.content.read(LARGEST_ANSWER)
-        if not answer.content.at_eof():
-            body += await answer.read()
+    async def _forward_whole(self, response: aiohttp.ClientResponse) -> None:
+        body = await response.content.read(FIRST_READ_BYTES)
+        if not response.content.at_eof():
+            body += await response.read()
         self.response = web.Response(
-            status=answer.status,
+            status=response.status,
             body=body,
-            content_type=answer.content_type,
+            content_type=response.content_type,
             headers={"X-Request-Id": self.request.request},
         )
 
     async def _read_events(
-        self, start: StartAttempt, answer: aiohttp.ClientResponse
+        self, start: StartAttempt, response: aiohttp.ClientResponse
     ) -> AttemptResult:
         framer = self._framer
         is_first = True
-        async for data in answer.content.iter_any():
-            passed = framer.feed(data)
-            if not passed:
+        async for data in response.content.iter_any():
+            forwardable = framer.feed(data)
+            if not forwardable:
                 continue
             if is_first:
                 is_first = False
@@ -299,13 +311,13 @@
                 self.first_token_at = self.first_token_at or now
                 self._reporter.started(start.attempt)
             if self.request.is_streamed:
-                await self._write(passed)
+                await self._write_events(forwardable)
             else:
-                self._collected.append(passed)
+                self._collected.append(forwardable)
         if start.phase is Phase.PREFILL and framer.next_offset == 1:
             return Prefilled()
         if not framer.is_whole:
-            return Interrupted("the stream ended before its end mark")
+            return Interrupted("the stream ended without its end event")
         usage = read_usage(framer.tail)
         self.output_tokens = usage.completion_tokens
         self.prompt_tokens = usage.prompt_tokens
@@ -314,14 +326,14 @@
             with contextlib.suppress(ConnectionError):
                 await self.response.write_eof()
         else:
-            self.response = self._assemble(usage)
+            self.response = self._assemble_response(usage)
         return Completed(
             usage.completion_tokens,
             usage.prompt_tokens,
             usage.prompt_tokens_details.cached_tokens,
         )
 
-    async def _write(self, data: bytes) -> None:
+    async def _write_events(self, data: bytes) -> None:
         if self.response is None:
             self.response = web.StreamResponse(headers={"Cache-Control": "no-store"})
             self.response.content_type = EVENT_STREAM
@@ -330,11 +342,11 @@
         try:
             await self.response.write(data)
         except ConnectionError as error:
-            raise _CallerGoneError from error
+            raise _CallerDisconnectedError from error
 
-    def _assemble(self, usage: Usage) -> web.Response:
+    def _assemble_response(self, usage: Usage) -> web.Response:
         is_chat = self._call.path.startswith("/v1/chat")
-        body = assemble_answer(b"".join(self._collected), usage, is_chat=is_chat)
+        body = assemble_completion(b"".join(self._collected), usage, is_chat=is_chat)
         return web.Response(
             body=body,
             content_type="application/json",
@@ -342,9 +354,9 @@
         )
 
 
-def _read_retry_after(answer: aiohttp.ClientResponse) -> float | None:
-    """Seconds, if the upstream names any."""
-    return read_decimal(answer.headers.get("Retry-After"))
+def _read_retry_after(response: aiohttp.ClientResponse) -> float | None:
+    """Return the seconds of ``Retry-After``; ``None`` without a valid header."""
+    return read_decimal(response.headers.get("Retry-After"))
 
 
 class _UpstreamProblem(msgspec.Struct):
@@ -364,20 +376,20 @@
     choices: list[_Choice] = msgspec.field(default_factory=list)
 
 
-def assemble_answer(events: bytes, usage: Usage, *, is_chat: bool) -> bytes:
-    """Return the whole answer in the shape that callers expect of one."""
+def assemble_completion(events: bytes, usage: Usage, *, is_chat: bool) -> bytes:
+    """Return the JSON body of a response that is not streamed, from its events."""
     text = []
     for payload in list_payloads(events):
         try:
             event = msgspec.json.decode(payload, type=_Event)
         except msgspec.MsgspecError as error:
-            raise GarbledStreamError("an event is not JSON") from error
+            raise InvalidStreamError("an event is not valid JSON") from error
         text += [choice.text or choice.delta.content for choice in event.choices]
-    whole = "".join(text)
+    full_text = "".join(text)
     choice: dict[str, object] = {"index": 0, "finish_reason": "stop"}
     if is_chat:
-        choice["message"] = {"role": "assistant", "content": whole}
+        choice["message"] = {"role": "assistant", "content": full_text}
     else:
-        choice["text"] = whole
+        choice["text"] = full_text
     kind = "chat.completion" if is_chat else "text_completion"
     return msgspec.json.encode({"object": kind, "choices": [choice], "usage": usage})
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -18,7 +18,7 @@
 from scalebend.edges.gateway.sockets import Listeners
 from scalebend.edges.gateway.upstream_choice import RETRY_LATER
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
-from scalebend.edges.problems import build_problem_body
+from scalebend.edges.problems import build_problem_response
 from scalebend.exceptions import (
     ErrorKind,
     Ran,
@@ -239,7 +239,7 @@
 
 
 def _build_failure(error: ScalebendError, headers: CallerHeaders) -> web.Response:
-    answer = build_problem_body(error, headers.request)
+    answer = build_problem_response(error, headers.request)
     if headers.request:
         answer.headers[REQUEST_ID] = headers.request
     if error.retry_after is not None and error.ran is Ran.NO:
--- a/src/scalebend/edges/http_server.py
+++ b/src/scalebend/edges/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP for callers, upstreams and operators."""
+"""HTTP server for callers, upstreams and operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     parse_completion,
     parse_service_call,
 )
-from scalebend.edges.runtime import ClaimedAnswerError, Runtime, run_core
+from scalebend.edges.runtime import ClaimedResponseError, Runtime, run_core
 from scalebend.edges.tls import build_server_context
 from scalebend.exceptions import (
     ErrorKind,
@@ -36,13 +36,13 @@
 
 logger = structlog.get_logger(__name__)
 
-LARGEST_ANNOUNCEMENT = 1024 * 1024
+MAX_ANNOUNCEMENT_BYTES = 1024 * 1024
 
 Parser = Callable[..., ParsedCall]
 
 
 class CallerHandlers:
-    """Requests of callers and announcements of upstreams."""
+    """Handlers of callers' requests, upstreams' announcements and health checks."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
@@ -52,14 +52,14 @@
         self._customers: dict[str, CustomerId] = {}
 
     def add_routes(self, app: web.Application) -> None:
-        """Add what callers and upstreams use."""
+        """Register the endpoints of callers, upstreams and health checks."""
         app.router.add_post("/v1/completions", self._complete)
         app.router.add_post("/v1/chat/completions", self._complete)
         app.router.add_get("/v1/models", self._list_models)
         app.router.add_route("*", "/services/{service}/{path:.*}", self._call_service)
         app.router.add_post("/upstreams/announce", self._announce)
-        app.router.add_get("/health/live", self._answer_live)
-        app.router.add_get("/health/ready", self._answer_ready)
+        app.router.add_get("/health/live", self._report_live)
+        app.router.add_get("/health/ready", self._report_ready)
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         return await self._serve(request, parse_completion)
@@ -70,26 +70,28 @@
     async def _serve(
         self, http_request: web.Request, parse: Parser
     ) -> web.StreamResponse:
-        name = self._runtime.build_request_id()
+        request_id = self._runtime.build_request_id()
         try:
-            customer = self._identify(http_request)
+            customer = self._authenticate(http_request)
             self._instance.check_ready(self._runtime.now())
             async with self._read_body(http_request) as body:
                 now = self._runtime.now()
-                parsed = parse(http_request, body, self._instance, name, customer, now)
-                return await self._run(http_request, parsed)
+                parsed = parse(
+                    http_request, body, self._instance, request_id, customer, now
+                )
+                return await self._run_exchange(http_request, parsed)
         except ScalebendError as error:
             self._runtime.metrics.incr(f"request.failed.{error.kind.value}")
             logger.info(
                 "request failed",
-                request=name,
+                request=request_id,
                 kind=error.kind.value,
                 ran=error.ran.value,
                 detail=error.detail,
             )
-            return build_response(error, name)
+            return build_response(error, request_id)
 
-    def _identify(self, request: web.Request) -> CustomerId:
+    def _authenticate(self, request: web.Request) -> CustomerId:
         accepted = self._instance.configuration
         if accepted.version != self._keys_version:
             self._keys_version = accepted.version
@@ -98,8 +100,8 @@
                 for customer in accepted.configuration.customers
                 for key_hash in customer.key_hashes
             }
-        # The table is searched by the hash of the key: what its timing could tell
-        # is the hash, from which no key follows.
+        # Looked up by the hash of the key: the timing of the lookup can reveal at
+        # most the hash, from which the key cannot be derived.
         customer = self._customers.get(hash_key(read_key(request)))
         if customer is None:
             raise RequestError("the key is unknown", kind=ErrorKind.UNKNOWN_KEY)
@@ -108,32 +110,34 @@
     @contextlib.asynccontextmanager
     async def _read_body(self, request: web.Request) -> AsyncIterator[bytes]:
         limits = self._instance.settings.limits
-        announced = request.content_length
-        size = limits.body_bytes if announced is None else announced
+        content_length = request.content_length
+        size = limits.body_bytes if content_length is None else content_length
         if size > limits.body_bytes:
             raise RequestError(
-                f"the body may have {limits.body_bytes} bytes",
+                f"the body is larger than {limits.body_bytes} bytes",
                 kind=ErrorKind.BODY_TOO_LARGE,
             )
         if self._body_bytes + size > limits.body_bytes_sum:
-            raise RefusedError("too many bodies are held", retry_after=1.0)
+            raise RefusedError(
+                "the memory limit for request bodies is reached", retry_after=1.0
+            )
         self._body_bytes += size
         try:
-            yield await self._read_within(request, limits.default_time_limit)
+            yield await self._read_with_timeout(request, limits.default_time_limit)
         finally:
             self._body_bytes -= size
 
-    async def _read_within(self, request: web.Request, seconds: float) -> bytes:
+    async def _read_with_timeout(self, request: web.Request, seconds: float) -> bytes:
         try:
             return await asyncio.wait_for(request.read(), seconds)
         except TimeoutError:
-            raise RequestError("the body did not arrive in time") from None
+            raise RequestError("the body did not arrive before the timeout") from None
         except web.HTTPRequestEntityTooLarge as error:
             raise RequestError(
                 error.text or "the body is too large", kind=ErrorKind.BODY_TOO_LARGE
             ) from None
 
-    async def _run(
+    async def _run_exchange(
         self, http_request: web.Request, parsed: ParsedCall
     ) -> web.StreamResponse:
         runtime = self._runtime
@@ -151,14 +155,14 @@
             runtime.cancel(parsed.request.request)
             raise
         finally:
-            runtime.forget(exchange)
-        self._record(exchange, parsed.prompt_bytes, error)
-        return await self._answer(exchange, error)
+            runtime.remove(exchange)
+        self._record_metrics(exchange, parsed.prompt_bytes, error)
+        return await self._build_caller_response(exchange, error)
 
-    async def _answer(
+    async def _build_caller_response(
         self, exchange: Exchange, error: ScalebendError | None
     ) -> web.StreamResponse:
-        if isinstance(error, ClaimedAnswerError):
+        if isinstance(error, ClaimedResponseError):
             stored = error.stored
             return web.Response(
                 status=stored.status,
@@ -174,7 +178,7 @@
             return exchange.response
         raise error
 
-    def _record(
+    def _record_metrics(
         self, exchange: Exchange, prompt_bytes: int, error: ScalebendError | None
     ) -> None:
         metrics = self._runtime.metrics
@@ -202,7 +206,7 @@
             error = RequestError("the key is unknown", kind=ErrorKind.UNKNOWN_KEY)
             return build_response(error)
         try:
-            if (request.content_length or 0) > LARGEST_ANNOUNCEMENT:
+            if (request.content_length or 0) > MAX_ANNOUNCEMENT_BYTES:
                 raise RequestError(
                     "the announcement is too large", kind=ErrorKind.BODY_TOO_LARGE
                 )
@@ -215,10 +219,10 @@
         self._runtime.announcements.on_next(announcement)
         return web.Response(status=202)
 
-    async def _answer_live(self, request: web.Request) -> web.Response:
+    async def _report_live(self, request: web.Request) -> web.Response:
         return web.Response(text="live\n")
 
-    async def _answer_ready(self, request: web.Request) -> web.Response:
+    async def _report_ready(self, request: web.Request) -> web.Response:
         readiness = self._instance.read_readiness(self._runtime.now())
         if readiness.is_ready:
             return web.Response(text="ready\n")
@@ -226,7 +230,7 @@
 
 
 @web.middleware
-async def _answer_unknown_paths(
+async def _convert_errors(
     request: web.Request,
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> web.StreamResponse:
@@ -243,7 +247,7 @@
     """Return the HTTP application of an instance."""
     limits = runtime.instance.settings.limits
     app = web.Application(
-        client_max_size=limits.body_bytes, middlewares=[_answer_unknown_paths]
+        client_max_size=limits.body_bytes, middlewares=[_convert_errors]
     )
     CallerHandlers(runtime).add_routes(app)
     AdminHandlers(runtime).add_routes(app)
@@ -272,18 +276,18 @@
                 ssl_context=build_server_context(settings.caller_tls),
             )
             await site.start()
-            logger.info("instance listens", instance=settings.instance)
+            logger.info("instance started", instance=settings.instance)
             yield runtime
         finally:
             await runner.cleanup()
 
 
-async def drain(runtime: Runtime, longest: float) -> bool:
-    """Stop as planned: finish what is open; return whether all of it ended."""
+async def drain(runtime: Runtime, max_wait_s: float) -> bool:
+    """Drain for up to ``max_wait_s`` seconds; return whether all requests ended."""
     runtime.drain()
-    deadline = runtime.now() + longest
+    deadline = runtime.now() + max_wait_s
     while runtime.count_open() and runtime.now() < deadline:
         await asyncio.sleep(0.05)
-    # Others must have heard of the hand-over before this process is gone.
+    # Peers must receive the hand-over before this process exits.
     await asyncio.sleep(1.0 if runtime.instance.settings.peers else 0.0)
     return runtime.count_open() == 0
--- a/src/scalebend/edges/problems.py
+++ b/src/scalebend/edges/problems.py
@@ -1,4 +1,4 @@
-"""Answers to failed requests, as ``application/problem+json``."""
+"""Responses to failed requests, as ``application/problem+json``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
-    """A problem document; ``type`` is the kind, ``ran`` whether it was executed."""
+    """A problem document; ``type`` is the error kind, ``ran`` whether it was run."""
 
     type: str
     title: str
@@ -38,8 +38,8 @@
     )
 
 
-def build_problem_body(error: ScalebendError, request: str = "") -> web.Response:
-    """Return the HTTP answer of an error, without ``Retry-After``."""
+def build_problem_response(error: ScalebendError, request: str = "") -> web.Response:
+    """Return the HTTP response to an error, without ``Retry-After``."""
     return web.Response(
         status=error.answer.status,
         body=msgspec.json.encode(build_problem(error, request)),
@@ -48,8 +48,8 @@
 
 
 def build_response(error: ScalebendError, request: str = "") -> web.Response:
-    """Return the HTTP answer of an error, with ``Retry-After`` where known."""
-    response = build_problem_body(error, request)
+    """Return the HTTP response to an error, with ``Retry-After`` where known."""
+    response = build_problem_response(error, request)
     if error.retry_after is not None:
         response.headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
     return response
--- a/src/scalebend/edges/request_parser.py
+++ b/src/scalebend/edges/request_parser.py
@@ -1,4 +1,4 @@
-"""Turn an HTTP request of a caller into a :class:`Request` of the core."""
+"""Parses HTTP requests of callers into :class:`Request` objects of the core."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 TIME_LIMIT_HEADER = "X-Time-Limit"
 PRIORITY_HEADER = "X-Priority"
-REPEAT_HEADER = "X-Not-Repeatable"
-KEY_HEADER = "Idempotency-Key"
+NON_IDEMPOTENT_HEADER = "X-Not-Repeatable"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 
-MOST_PRIORITY = 3
+MAX_PRIORITY = 3
 DEFAULT_OUTPUT_TOKENS = 256
-MOST_OUTPUT_TOKENS = 1_000_000
-LONGEST_KEY = 200
+MAX_OUTPUT_TOKENS = 1_000_000
+MAX_KEY_CHARACTERS = 200
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 FORWARDED_HEADERS = ("Content-Type", "Accept", "X-Order")
 
@@ -40,15 +40,15 @@
 
 
 class ParsedCall(msgspec.Struct, frozen=True):
-    """A caller's request, for the core and for the upstream."""
+    """A caller's request, as the core and the upstream get it."""
 
     request: Request
     call: OutgoingCall
     prompt_bytes: int = 0
 
 
-class _Fields(msgspec.Struct):
-    """The fields of a completion that scalebend itself reads."""
+class _CompletionFields(msgspec.Struct):
+    """The fields of a completion request that scalebend reads."""
 
     model: str
     max_tokens: int | None = None
@@ -70,7 +70,7 @@
         seconds = math.nan
     if not 0.0 < seconds <= limits.longest_time_limit:
         raise RequestError(
-            f"{TIME_LIMIT_HEADER}: expected seconds above 0 and up to "
+            f"{TIME_LIMIT_HEADER}: expected a number of seconds above 0 and up to "
             f"{limits.longest_time_limit:g}",
             kind=ErrorKind.INVALID_TIME_LIMIT,
         )
@@ -83,10 +83,10 @@
     try:
         priority = int(text)
     except ValueError:
-        priority = MOST_PRIORITY + 1
-    if abs(priority) > MOST_PRIORITY:
+        priority = MAX_PRIORITY + 1
+    if abs(priority) > MAX_PRIORITY:
         raise RequestError(
-            f"{PRIORITY_HEADER}: expected -{MOST_PRIORITY} to {MOST_PRIORITY}"
+            f"{PRIORITY_HEADER}: expected -{MAX_PRIORITY} to {MAX_PRIORITY}"
         )
     return priority
 
@@ -95,16 +95,16 @@
     http_request: web.Request,
     body: bytes,
     instance: Instance,
-    name: RequestId,
+    request_id: RequestId,
     customer: CustomerId,
     now: float,
 ) -> ParsedCall:
-    """Parse ``/v1/completions`` and ``/v1/chat/completions``."""
+    """Parse a request to ``/v1/completions`` or ``/v1/chat/completions``."""
     raw, fields = _decode_fields(body)
     prompt_field = "messages" if "/chat/" in http_request.path else "prompt"
     prompt = raw.get(prompt_field)
     if prompt is None or bytes(prompt) in (b'""', b"[]", b"null"):
-        raise RequestError(f"$.{prompt_field}: expected a prompt")
+        raise RequestError(f"$.{prompt_field}: expected a prompt that is not empty")
     model = instance.get_model(ModelName(fields.model))
     if model is None:
         raise RequestError(
@@ -113,20 +113,20 @@
         )
     output_tokens = fields.max_completion_tokens or fields.max_tokens
     output_tokens = output_tokens or DEFAULT_OUTPUT_TOKENS
-    if not 1 <= output_tokens <= MOST_OUTPUT_TOKENS:
-        raise RequestError(f"$.max_tokens: expected 1 to {MOST_OUTPUT_TOKENS}")
+    if not 1 <= output_tokens <= MAX_OUTPUT_TOKENS:
+        raise RequestError(f"$.max_tokens: expected 1 to {MAX_OUTPUT_TOKENS}")
     data = bytes(prompt)
     tokens = instance.entry.placement.sizes.estimate_tokens(model.model, len(data))
     if tokens > model.longest_prompt * 1.25:
         raise RequestError(
             f"the prompt has about {tokens} tokens; "
-            f"the model takes {model.longest_prompt}",
+            f"the limit of the model is {model.longest_prompt}",
             kind=ErrorKind.PROMPT_TOO_LONG,
         )
     headers = http_request.headers
-    key, is_repeatable = _read_repeatability(headers, must_have_key=False)
+    key, is_idempotent = _read_idempotency(headers, must_have_key=False)
     request = Request(
-        request=name,
+        request=request_id,
         customer=customer,
         arrived=now,
         deadline=now + read_time_limit(headers, instance),
@@ -136,10 +136,10 @@
         prompt_tokens=tokens,
         output_tokens=output_tokens,
         priority=read_priority(headers),
-        repeatable=is_repeatable,
+        repeatable=is_idempotent,
         is_streamed=fields.stream,
         idempotency_key=key,
-        fingerprint=_compute_fingerprint(http_request.path, body) if key else "",
+        fingerprint=_compute_body_fingerprint(http_request.path, body) if key else "",
         content=compute_fingerprint(customer, "POST", "", http_request.path, body),
         prefixes=compute_prefixes(data),
     )
@@ -156,11 +156,11 @@
     http_request: web.Request,
     body: bytes,
     instance: Instance,
-    name: RequestId,
+    request_id: RequestId,
     customer: CustomerId,
     now: float,
 ) -> ParsedCall:
-    """Parse ``/services/{service}/...``."""
+    """Parse a request to ``/services/{service}/...``."""
     service = instance.get_service(ServiceName(http_request.match_info["service"]))
     if service is None:
         raise RequestError(
@@ -170,31 +170,33 @@
     path = "/" + http_request.match_info["path"]
     method = http_request.method
     headers = http_request.headers
-    may_repeat = is_repeatable_call(service, method, path)
-    key, is_repeatable = _read_repeatability(headers, must_have_key=not may_repeat)
+    is_idempotent_by_rule = is_idempotent_call(service, method, path)
+    key, is_idempotent = _read_idempotency(
+        headers, must_have_key=not is_idempotent_by_rule
+    )
     if http_request.query_string:
         path = f"{path}?{http_request.query_string}"
     request = Request(
-        request=name,
+        request=request_id,
         customer=customer,
         arrived=now,
         deadline=now + read_time_limit(headers, instance),
         service=service.service,
         priority=read_priority(headers),
-        repeatable=is_repeatable,
+        repeatable=is_idempotent,
         is_streamed=False,
         idempotency_key=key,
-        fingerprint=_compute_fingerprint(f"{method} {path}", body) if key else "",
+        fingerprint=_compute_body_fingerprint(f"{method} {path}", body) if key else "",
         content=compute_fingerprint(customer, method, service.service, path, body),
     )
     forwarded = {n: headers[n] for n in FORWARDED_HEADERS if n in headers}
     if key is not None:
-        forwarded[KEY_HEADER] = key
+        forwarded[IDEMPOTENCY_KEY_HEADER] = key
     return ParsedCall(request, OutgoingCall(method, path, body, forwarded))
 
 
-def is_repeatable_call(service: Service, method: str, path: str) -> bool:
-    """Whether the configuration lets this call be repeated."""
+def is_idempotent_call(service: Service, method: str, path: str) -> bool:
+    """Whether the call is idempotent by the longest matching path of the service."""
     matching = [
         call
         for call in service.calls
@@ -206,31 +208,35 @@
     return method in SAFE_METHODS
 
 
-def _decode_fields(body: bytes) -> tuple[dict[str, msgspec.Raw], _Fields]:
+def _decode_fields(body: bytes) -> tuple[dict[str, msgspec.Raw], _CompletionFields]:
     try:
         raw = _RAW_FIELDS.decode(body)
-        fields = msgspec.json.decode(body, type=_Fields)
+        fields = msgspec.json.decode(body, type=_CompletionFields)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise RequestError(f"the body is not valid: {error}") from None
+        raise RequestError(f"the body is invalid: {error}") from None
     return raw, fields
 
 
-def _read_repeatability(
+def _read_idempotency(
     headers: Mapping[str, str], *, must_have_key: bool
 ) -> tuple[IdempotencyKey | None, bool]:
-    text = headers.get(KEY_HEADER)
-    is_marked = headers.get(REPEAT_HEADER, "false").lower() == "true"
+    text = headers.get(IDEMPOTENCY_KEY_HEADER)
+    is_marked_non_idempotent = (
+        headers.get(NON_IDEMPOTENT_HEADER, "false").lower() == "true"
+    )
     if text is None:
-        if must_have_key or is_marked:
+        if must_have_key or is_marked_non_idempotent:
             raise RequestError(
-                f"{KEY_HEADER}: expected, since this call must not be repeated",
+                f"{IDEMPOTENCY_KEY_HEADER}: required for a non-idempotent call",
                 kind=ErrorKind.MISSING_IDEMPOTENCY_KEY,
             )
         return None, True
-    if not 1 <= len(text) <= LONGEST_KEY:
-        raise RequestError(f"{KEY_HEADER}: expected 1 to {LONGEST_KEY} characters")
+    if not 1 <= len(text) <= MAX_KEY_CHARACTERS:
+        raise RequestError(
+            f"{IDEMPOTENCY_KEY_HEADER}: expected 1 to {MAX_KEY_CHARACTERS} characters"
+        )
     return IdempotencyKey(text), False
 
 
-def _compute_fingerprint(path: str, body: bytes) -> str:
+def _compute_body_fingerprint(path: str, body: bytes) -> str:
     return xxhash.xxh3_128_hexdigest(path.encode() + b"\0" + body)
--- a/src/scalebend/edges/runtime.py
+++ b/src/scalebend/edges/runtime.py
@@ -1,4 +1,4 @@
-"""Carries out the core's actions: timers, links, files, and open exchanges."""
+"""Runs an instance's core: executes its actions and passes it inputs and timers."""
 
 from __future__ import annotations
 
@@ -58,26 +58,26 @@
 
 logger = structlog.get_logger(__name__)
 
-TICK = 0.05
-"""Seconds between two calls of the core's timers."""
+TICK_INTERVAL_S = 0.05
+"""Time between two runs of the core's timers."""
 
-GAUGE_PERIOD = 5.0
-CONNECT_TIMEOUT = 3.0
-CLAIM_TIMEOUT = 2.0
-SETTLE_TIMEOUT = 60.0
-CANCEL_TIMEOUT = 2.0
+GAUGE_INTERVAL_S = 5.0
+CONNECT_TIMEOUT_S = 3.0
+CLAIM_TIMEOUT_S = 2.0
+SETTLE_TIMEOUT_S = 60.0
+CANCEL_TIMEOUT_S = 2.0
 
 
-class ClaimedAnswerError(ClaimError):
-    """The key's first request was answered; its stored answer is given again."""
+class ClaimedResponseError(ClaimError):
+    """The idempotency key has a stored response, which is sent to the caller."""
 
-    def __init__(self, answer: StoredResponse) -> None:
-        super().__init__("this request was run before", ran=Ran.YES)
-        self.stored = answer
+    def __init__(self, response: StoredResponse) -> None:
+        super().__init__("a request with this key has already run", ran=Ran.YES)
+        self.stored = response
 
 
 class Runtime:
-    """One running instance."""
+    """One running instance: its core with its connections, files and tasks."""
 
     def __init__(
         self,
@@ -93,32 +93,32 @@
         self.announcements: Subject[Announcement] = Subject()
         self.peers: PeerTransport | None = None
         self.gossip: GossipSocket | None = None
-        self.stopped = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._exchanges: dict[RequestId, Exchange] = {}
         self._attempts: dict[AttemptId, Exchange] = {}
         self._proposals: dict[str, asyncio.Future[Result | None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._scheme = "https" if instance.settings.upstream_tls else "http"
-        self._is_pumping = False
-        self._gauges_at = 0.0
-        self._count = 0
-        self.announcements.subscribe(on_next=self._take_announcement)
+        self._is_pump_scheduled = False
+        self._next_gauges_at = 0.0
+        self._request_count = 0
+        self.announcements.subscribe(on_next=self._receive_announcement)
 
     def now(self) -> float:
-        """Seconds of the clock that only runs forward."""
+        """Return the seconds of the monotonic clock."""
         return self._loop.time()
 
     # Requests
 
     def build_request_id(self) -> RequestId:
-        """Return a name that no other request of the system has."""
-        self._count += 1
+        """Return a request id that is unique in the system."""
+        self._request_count += 1
         incarnation = f"{self.instance.incarnation:x}"
-        return RequestId(f"{self.instance.me}-{incarnation}-{self._count}")
+        return RequestId(f"{self.instance.me}-{incarnation}-{self._request_count}")
 
     def admit(self, exchange: Exchange) -> None:
-        """Admit the request of an exchange; raise when it is refused at once."""
+        """Submit the request of an exchange; raise if admission rejects it."""
         request = exchange.request
         self._exchanges[request.request] = exchange
         try:
@@ -128,31 +128,31 @@
             raise
 
     def cancel(self, request: RequestId) -> None:
-        """The caller went away."""
+        """Cancel a request whose caller disconnected."""
         self.execute(self.instance.cancel(request, self.now()))
 
-    def forget(self, exchange: Exchange) -> None:
-        """The caller was answered."""
+    def remove(self, exchange: Exchange) -> None:
+        """Remove an exchange that has ended."""
         request = exchange.request
         self._exchanges.pop(request.request, None)
         self.instance.finish(request.request, request.customer)
 
     def count_open(self) -> int:
-        """Requests that are not answered yet."""
+        """Return the number of requests in progress."""
         return len(self._exchanges)
 
     def build_reporter(self) -> AttemptReporter:
-        """Return what exchanges report to."""
+        """Return the callbacks for an exchange."""
         return AttemptReporter(
             self._report_started,
             self._report_ended,
             self.cancel,
-            self._report_pause,
-            self._find,
+            self._report_backoff,
+            self._find_upstream,
             self._scheme,
         )
 
-    def _find(self, upstream: UpstreamId) -> UpstreamRecord | None:
+    def _find_upstream(self, upstream: UpstreamId) -> UpstreamRecord | None:
         return self.instance.catalog.get(upstream)
 
     def _report_started(self, attempt: AttemptId) -> None:
@@ -161,22 +161,22 @@
     def _report_ended(self, attempt: AttemptId, result: AttemptResult) -> None:
         self.execute(self.instance.handle_result(attempt, result, self.now()))
 
-    def _report_pause(self, upstream: UpstreamId, seconds: float) -> None:
+    def _report_backoff(self, upstream: UpstreamId, seconds: float) -> None:
         self.instance.entry.record_backoff(upstream, seconds, self.now())
 
     # Inputs
 
-    def _take_announcement(self, announcement: Announcement) -> None:
+    def _receive_announcement(self, announcement: Announcement) -> None:
         self.execute(self.instance.receive_announcement(announcement, self.now()))
 
     def receive_message(self, sender: InstanceId, message: PeerMessage) -> None:
-        """Take a message of another instance."""
+        """Handle a message of another instance."""
         actions = self.instance.handle_peer(sender, message, self.now(), time.time())
         self.execute(actions)
         self._schedule_pump()
 
     def receive_datagram(self, datagram: Datagram) -> None:
-        """Take a datagram of another instance."""
+        """Handle a datagram of another instance."""
         self.execute(self.instance.handle_datagram(datagram, self.now()))
 
     def tick(self) -> None:
@@ -186,28 +186,30 @@
             self._schedule_pump()
             self._report_gauges()
         except Exception:
-            # The timer must go on: every time limit depends on it.
+            # The timer must keep running: all timeouts depend on it.
             logger.exception("tick failed")
 
     def _report_gauges(self) -> None:
         now = self.now()
-        if now < self._gauges_at:
+        if now < self._next_gauges_at:
             return
-        self._gauges_at = now + GAUGE_PERIOD
+        self._next_gauges_at = now + GAUGE_INTERVAL_S
         self.metrics.gauge("requests.open", self.count_open())
         self.metrics.gauge("configuration.version", self.instance.configuration.version)
 
     def drain(self) -> None:
-        """Begin a planned stop."""
+        """Begin draining."""
         logger.info("drain begins", open=self.count_open())
         self.execute(self.instance.drain(self.now(), time.time()))
         self._schedule_pump()
 
     async def propose(self, command: Command, timeout: float) -> Result | None:
-        """Commit a command; ``None`` when no quorum answered in time."""
-        name, actions = self.instance.propose(command, timeout, self.now(), time.time())
+        """Commit a command; ``None`` without a quorum within ``timeout`` seconds."""
+        proposal, actions = self.instance.propose(
+            command, timeout, self.now(), time.time()
+        )
         future: asyncio.Future[Result | None] = self._loop.create_future()
-        self._proposals[name] = future
+        self._proposals[proposal] = future
         self.execute(actions)
         self._schedule_pump()
         return await future
@@ -215,14 +217,14 @@
     # Actions
 
     def execute(self, actions: Sequence[InstanceAction]) -> None:
-        """Carry out actions of the core."""
+        """Execute actions of the core."""
         for action in actions:
             self._execute_one(action)
 
     def _schedule_pump(self) -> None:
-        """Let the control member write and send, once for all of this turn's work."""
-        if self.instance.control is not None and not self._is_pumping:
-            self._is_pumping = True
+        """Schedule one run of the control member's output per event loop iteration."""
+        if self.instance.control is not None and not self._is_pump_scheduled:
+            self._is_pump_scheduled = True
             self._loop.call_soon(self._pump_control)
 
     def _execute_one(self, action: InstanceAction) -> None:
@@ -285,19 +287,19 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _claim(self, name: RequestId) -> None:
-        exchange = self._exchanges.get(name)
+    async def _claim(self, request_id: RequestId) -> None:
+        exchange = self._exchanges.get(request_id)
         if exchange is None:
             return
         request = exchange.request
         assert request.idempotency_key is not None
         command = Claim(
-            request.customer, request.idempotency_key, request.fingerprint, name
+            request.customer, request.idempotency_key, request.fingerprint, request_id
         )
-        timeout = min(CLAIM_TIMEOUT, max(0.0, request.deadline - self.now()))
+        timeout = min(CLAIM_TIMEOUT_S, max(0.0, request.deadline - self.now()))
         result = await self.propose(command, timeout)
-        error = _read_claim(result)
-        self.execute(self.instance.handle_claim(name, error, self.now()))
+        error = _build_claim_error(result)
+        self.execute(self.instance.handle_claim(request_id, error, self.now()))
 
     async def _settle(self, exchange: Exchange, error: ScalebendError | None) -> None:
         request = exchange.request
@@ -307,23 +309,23 @@
             command = Withdraw(
                 request.customer, request.idempotency_key, request.request
             )
-        elif error is None and (stored := exchange.read_stored_answer()) is not None:
+        elif error is None and (stored := exchange.build_stored_response()) is not None:
             command = Settle(
                 request.customer, request.idempotency_key, request.request, stored
             )
         else:
             return
-        await self.propose(command, SETTLE_TIMEOUT)
+        await self.propose(command, SETTLE_TIMEOUT_S)
 
     async def _cancel_on_engine(self, upstream: UpstreamId, attempt: AttemptId) -> None:
         record = self.instance.catalog.get(upstream)
         if record is None:
             return
         url = f"{self._scheme}://{record.announcement.address}/v1/requests/{attempt}"
-        timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_S)
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-            async with self.session.delete(url, timeout=timeout) as answer:
-                if answer.status in (200, 202, 204, 404):
+            async with self.session.delete(url, timeout=timeout) as response:
+                if response.status in (200, 202, 204, 404):
                     now = self.now()
                     self.execute(
                         self.instance.confirm_cancelled(upstream, attempt, now)
@@ -336,15 +338,15 @@
         url = f"{self._scheme}://{record.announcement.address}/v1/orders"
         timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT)
         body = msgspec.json.encode(order)
-        # Whatever the answer: what counts is what the engine announces.
+        # The response does not matter: the engine announces the result.
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-            async with self.session.post(url, data=body, timeout=timeout) as answer:
-                logger.info("order sent", upstream=upstream, status=answer.status)
+            async with self.session.post(url, data=body, timeout=timeout) as response:
+                logger.info("order sent", upstream=upstream, status=response.status)
 
     # Control
 
     def _pump_control(self) -> None:
-        self._is_pumping = False
+        self._is_pump_scheduled = False
         control = self.instance.control
         journal = self.journal
         if control is None or journal is None:
@@ -355,37 +357,39 @@
         self.execute(self.instance.finish_control(ready, self.now(), time.time()))
 
     async def close(self) -> None:
-        """End background work."""
+        """Cancel background tasks and wait for their end."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-def _read_claim(result: Result | None) -> ScalebendError | None:
+def _build_claim_error(result: Result | None) -> ScalebendError | None:
     match result:
         case ClaimTaken():
             return None
-        case ClaimKnown(_, answer) if answer is not None and answer.body is not None:
-            return ClaimedAnswerError(answer)
-        case ClaimKnown(state, answer):
-            ran = Ran.YES if answer is not None else Ran.UNKNOWN
+        case ClaimKnown(_, response) if (
+            response is not None and response.body is not None
+        ):
+            return ClaimedResponseError(response)
+        case ClaimKnown(state, response):
+            ran = Ran.YES if response is not None else Ran.UNKNOWN
             detail = f"the first request with this key is {state.value}"
             return ClaimError(detail, ran=ran)
         case ClaimConflict():
             return ClaimError(
-                "the key was used with other content",
+                "the key was used for a request with other content",
                 kind=ErrorKind.IDEMPOTENCY_CONFLICT,
             )
         case _:
             return ScalebendError(
-                "the claim was not confirmed in time",
+                "the claim was not committed before the timeout",
                 kind=ErrorKind.NO_QUORUM,
                 retry_after=2.0,
             )
 
 
 @contextlib.contextmanager
-def _recover(
+def _open_control_journal(
     settings: Settings,
 ) -> Iterator[tuple[Journal | None, Recovered | None]]:
     if not settings.is_control:
@@ -398,19 +402,19 @@
 
 @contextlib.asynccontextmanager
 async def run_core(settings: Settings, *, seed: int = 0) -> AsyncIterator[Runtime]:
-    """Run an instance's core with its links, files and timers."""
+    """Run an instance's core with its connections, files and timers."""
     loop = asyncio.get_running_loop()
     key = None
     if settings.gossip_key_file is not None:
         key = Path(settings.gossip_key_file).read_bytes().strip()
     async with contextlib.AsyncExitStack() as stack:
-        journal, recovered = stack.enter_context(_recover(settings))
+        journal, recovered = stack.enter_context(_open_control_journal(settings))
         connector = aiohttp.TCPConnector(
             limit=0,
             keepalive_timeout=15.0,
             ssl=build_client_context(settings.upstream_tls) or True,
         )
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         session = await stack.enter_async_context(
             aiohttp.ClientSession(
                 connector=connector,
@@ -439,9 +443,9 @@
         runtime.gossip = await stack.enter_async_context(
             open_gossip(settings.listen.gossip, runtime.receive_datagram, key)
         )
-        ticks = reactivex.interval(TICK, scheduler=AsyncIOScheduler(loop)).subscribe(
-            on_next=lambda _: runtime.tick(), on_error=_log_failure
-        )
+        ticks = reactivex.interval(
+            TICK_INTERVAL_S, scheduler=AsyncIOScheduler(loop)
+        ).subscribe(on_next=lambda _: runtime.tick(), on_error=_log_failure)
         stack.callback(ticks.dispose)
         yield runtime
 
--- a/src/scalebend/edges/sse.py
+++ b/src/scalebend/edges/sse.py
@@ -1,8 +1,8 @@
-"""Cut a stream of server-sent events at event borders, without parsing each.
+"""Splits a stream of server-sent events into complete events.
 
-An upstream numbers its events with ``id:``. In the usual case the bytes pass as they
-came; only the first event of each read is looked at. When numbers repeat or are
-missing, the events are taken one by one.
+An upstream numbers its events with ``id:``. If the first and last number of a read
+match the count of its events, the bytes are forwarded as they are; otherwise each
+event is parsed, so that repeated ones are dropped.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 _SEPARATOR = b"\n\n"
 _ID = re.compile(rb"(?:^|\n)id: ?(\d+)(?:\r?\n|$)")
 _DONE = b"data: [DONE]"
-MOST_PENDING = 1024 * 1024
-"""Bytes of one event; a longer one is garbage."""
+MAX_EVENT_BYTES = 1024 * 1024
+"""A stream with a longer event is rejected as invalid."""
 
 
-class GarbledStreamError(Exception):
-    """The upstream's stream is not a stream of events."""
+class InvalidStreamError(Exception):
+    """The upstream's stream is not a valid stream of numbered events."""
 
 
 class EventFramer:
-    """Whole events of one attempt, each delivered once, over any number of links."""
+    """Complete events of one attempt, each delivered once, over any connections."""
 
     def __init__(self) -> None:
         self._assembler = StreamAssembler()
@@ -34,45 +34,45 @@
 
     @property
     def next_offset(self) -> int:
-        """Number of the next event to be delivered."""
+        """Number of the next event to deliver."""
         return self._assembler.next_offset
 
     @property
     def is_whole(self) -> bool:
-        """Whether the end of the answer was delivered."""
+        """Whether the end of the response was delivered."""
         return self._assembler.is_whole
 
     def restart(self) -> None:
-        """The link was lost: what came of an unfinished event is dropped."""
+        """Drop an incomplete event after the connection was lost."""
         self._pending = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes from the link; return what can be passed on."""
+        """Add received bytes; return the complete events that can be forwarded."""
         if self._pending:
             data = self._pending + data
         end = data.rfind(_SEPARATOR)
         if end < 0:
-            self._keep(data)
+            self._store_pending(data)
             return b""
         end += len(_SEPARATOR)
-        whole = data[:end]
-        self._keep(data[end:])
-        return self._deliver(whole)
+        events = data[:end]
+        self._store_pending(data[end:])
+        return self._deliver(events)
 
-    def _keep(self, data: bytes) -> None:
-        if len(data) > MOST_PENDING:
-            raise GarbledStreamError("an event is too long")
+    def _store_pending(self, data: bytes) -> None:
+        if len(data) > MAX_EVENT_BYTES:
+            raise InvalidStreamError("an event exceeds the size limit")
         if data[:3] != b"id:"[: len(data)]:
-            raise GarbledStreamError("an event does not begin with its id")
+            raise InvalidStreamError("an event does not begin with its id")
         self._pending = data
 
-    def _deliver(self, whole: bytes) -> bytes:
-        first = _ID.search(whole, 0, whole.find(_SEPARATOR))
+    def _deliver(self, events: bytes) -> bytes:
+        first = _ID.search(events, 0, events.find(_SEPARATOR))
         if first is None:
-            raise GarbledStreamError("an event has no id")
+            raise InvalidStreamError("an event has no id")
         expected = self._assembler.next_offset
-        count = whole.count(_SEPARATOR)
-        last = _ID.search(whole, max(0, whole.rfind(_SEPARATOR, 0, -2)))
+        count = events.count(_SEPARATOR)
+        last = _ID.search(events, max(0, events.rfind(_SEPARATOR, 0, -2)))
         is_in_order = (
             int(first[1]) == expected
             and last is not None
@@ -80,37 +80,41 @@
         )
         if is_in_order:
             self._assembler.skip(count)
-            passed = whole
+            forwardable = events
         else:
-            passed = self._deliver_each(whole)
-        if passed:
-            self.tail = (self.tail + passed)[-4096:] if len(passed) < 4096 else passed
-        if _DONE in whole[-64:]:
+            forwardable = self._deliver_one_by_one(events)
+        if forwardable:
+            self.tail = (
+                (self.tail + forwardable)[-4096:]
+                if len(forwardable) < 4096
+                else forwardable
+            )
+        if _DONE in events[-64:]:
             assert last is not None
             self._assembler.record_end(int(last[1]) + 1)
-        return passed
+        return forwardable
 
-    def _deliver_each(self, whole: bytes) -> bytes:
-        passed = []
-        for event in whole.split(_SEPARATOR)[:-1]:
+    def _deliver_one_by_one(self, events: bytes) -> bytes:
+        forwardable = []
+        for event in events.split(_SEPARATOR)[:-1]:
             found = _ID.search(event)
             if found is None:
-                raise GarbledStreamError("an event has no id")
+                raise InvalidStreamError("an event has no id")
             chunk = Chunk(int(found[1]), event + _SEPARATOR)
-            passed += self._assembler.accept(chunk)
-        return b"".join(passed)
+            forwardable += self._assembler.accept(chunk)
+        return b"".join(forwardable)
 
 
-class _Details(msgspec.Struct, frozen=True):
+class _PromptTokenDetails(msgspec.Struct, frozen=True):
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct):
-    """Token counts as the engine reports them in its last event."""
+    """Token counts that the engine reports in its last event."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details = _Details()
+    prompt_tokens_details: _PromptTokenDetails = _PromptTokenDetails()
 
 
 class _UsageEvent(msgspec.Struct):
@@ -118,7 +122,7 @@
 
 
 def read_usage(tail: bytes) -> Usage:
-    """Return the usage in the last events of an answer; zeros when there is none."""
+    """Return the usage in the last events of a response; zeros without one."""
     for event in reversed(tail.split(_SEPARATOR)):
         position = event.find(b"data: {")
         if position < 0 or b'"usage"' not in event:
@@ -133,7 +137,7 @@
 
 
 def list_payloads(events: bytes) -> list[bytes]:
-    """Return the ``data:`` payloads of whole events, without the end mark."""
+    """Return the ``data:`` payloads of complete events, without the end event."""
     payloads = []
     for line in events.split(b"\n"):
         if line.startswith(b"data: ") and not line.startswith(_DONE):
--- a/tests/unit/test_streams.py
+++ b/tests/unit/test_streams.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 
 from scalebend.core.streams import Chunk, StreamAssembler
-from scalebend.edges.sse import EventFramer, GarbledStreamError, read_usage
+from scalebend.edges.sse import EventFramer, InvalidStreamError, read_usage
 
 
 def build_events(count):
@@ -62,7 +62,7 @@
 )
 def test_data_that_is_no_event_stream_is_rejected(data):
     framer = EventFramer()
-    with pytest.raises(GarbledStreamError):
+    with pytest.raises(InvalidStreamError):
         framer.feed(data)
         framer.feed(b"\n\n")
 
