--- /dev/null
+++ b/src/scalebend/edges/gateway/response_headers.py
@@ -0,0 +1,62 @@
+"""Applies what an upstream says about itself in the head of a response."""
+
+from __future__ import annotations
+
+import structlog
+
+from scalebend.edges.gateway.front_runtime import FrontRuntime
+from scalebend.models.calls import AnswerHeaders, Call
+from scalebend.models.ids import UpstreamId
+from scalebend.models.request_limits import UNLIMITED, HeardLimit, RequestLimit
+
+logger = structlog.get_logger(__name__)
+
+
+def apply_response_head(
+    runtime: FrontRuntime, call: Call, known: RequestLimit, headers: AnswerHeaders
+) -> None:
+    """Apply the head of a response to ``call``.
+
+    ``known`` is the rate limit known when the request was sent. A response to another
+    request is ignored: it may be older than what is known.
+    """
+    if headers.request not in (None, call.headers.request):
+        return
+    for name in headers.unknown_words:
+        runtime.record_unknown_header(known.upstream, name)
+    _record_limit(runtime, known, headers)
+    _record_backoff(runtime, call, known.upstream, headers)
+    if headers.is_draining and runtime.record_draining(known.upstream):
+        logger.info(
+            "draining heard", request=call.headers.request, upstream=known.upstream
+        )
+
+
+def _record_limit(
+    runtime: FrontRuntime, known: RequestLimit, headers: AnswerHeaders
+) -> None:
+    """Record the rate limit; only a request that ran shows that there is none."""
+    if headers.request_limit is None:
+        return
+    if headers.has_not_run and headers.request_limit == UNLIMITED:
+        return
+    observed = HeardLimit(known.upstream, headers.request_limit, known.revision)
+    runtime.record_limit(observed)
+
+
+def _record_backoff(
+    runtime: FrontRuntime, call: Call, upstream: UpstreamId, headers: AnswerHeaders
+) -> None:
+    if headers.has_unreadable_backoff:
+        logger.info(
+            "backoff not readable", request=call.headers.request, upstream=upstream
+        )
+    if headers.backoff is None:
+        return
+    logger.info(
+        "backoff heard",
+        request=call.headers.request,
+        upstream=upstream,
+        seconds=headers.backoff,
+    )
+    runtime.record_backoff(upstream, headers.backoff)
--- a/src/scalebend/edges/request_parser.py
+++ b/src/scalebend/edges/request_parser.py
@@ -196,7 +196,7 @@
 
 
 def is_idempotent_call(service: Service, method: str, path: str) -> bool:
-    """Whether the call is idempotent by the longest matching path of the service."""
+    """Whether the call is idempotent by the longest matching path, else by its method."""
     matching = [
         call
         for call in service.calls
