--- a/src/scalebend/edges/http_server.py
+++ b/src/scalebend/edges/http_server.py
@@ -131,7 +131,7 @@
         try:
             return await asyncio.wait_for(request.read(), seconds)
         except TimeoutError:
-            raise RequestError("the body did not arrive before the timeout") from None
+            raise RequestError("the body did not arrive in time") from None
         except web.HTTPRequestEntityTooLarge as error:
             raise RequestError(
                 error.text or "the body is too large", kind=ErrorKind.BODY_TOO_LARGE
--- a/src/scalebend/edges/request_parser.py
+++ b/src/scalebend/edges/request_parser.py
@@ -196,7 +196,7 @@
 
 
 def is_idempotent_call(service: Service, method: str, path: str) -> bool:
-    """Whether the call is idempotent by the longest matching path, else by its method."""
+    """Whether the longest matching path, or else the method, marks it as idempotent."""
     matching = [
         call
         for call in service.calls
