--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -354,9 +354,9 @@
             case Fetch() if self.control is None:
                 return self._reply_to_fetch(sender, message)
             case UsageReport():
-                return [self.usage.take_report(sender, message, now)]
+                return [self.usage.receive_report(sender, message, now)]
             case UsageReply():
-                self.usage.take_answer(message, now)
+                self.usage.receive_reply(message, now)
             case Handover(upstream, renew):
                 owner = self.owners.get(upstream)
                 if owner is not None:
@@ -554,7 +554,7 @@
 
     def _apply_instance_list(self, now: float) -> list[_Step]:
         listed = self.instances
-        self.admission.instances = max(1, len(listed.instances))
+        self.admission.instance_count = max(1, len(listed.instances))
         self.catalog.set_local_availability_zones(
             {
                 item.availability_zone
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -132,7 +132,7 @@
         while True:
             quarantine_s = self._compute_quarantine()
             if quarantine_s > 0.0:
-                runtime.metrics.count_held_request()
+                runtime.metrics.count_quarantined_request()
                 self._choice.retry_after = quarantine_s
                 refusal = self._attempts.refuse(ErrorKind.ENDS_UPSTREAMS)
                 return self._give_up(refusal, None)
@@ -296,7 +296,7 @@
         runtime = self._runtime
         limit = runtime.instance.limits.get(target.upstream)
         if limit.rate < UNLIMITED:
-            runtime.metrics.count_limited_attempt(is_first=not self.send_count)
+            runtime.metrics.count_rate_limited_attempt(is_first=not self.send_count)
             logger.info(
                 "sent to a limited upstream",
                 request=self._call.headers.request,
