--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -144,7 +144,7 @@
             prefill_tokens=0,
             output_tokens=request.output_tokens,
             timeout_s=request.deadline - now,
-            held_elsewhere=True,
+            is_reserved_elsewhere=True,
         )
 
     def _split_lanes(self, model: ModelName, candidates: list[Candidate]) -> Lanes:
@@ -295,7 +295,7 @@
                 timeout_s=timeout_s
                 if number == 0
                 else min(GROUP_RESERVATION_TIMEOUT_S, timeout_s),
-                held_elsewhere=number > 0,
+                is_reserved_elsewhere=number > 0,
             )
             works.append(work)
         return PlacedAttempt(works)
@@ -316,7 +316,7 @@
         prefill_tokens: int,
         output_tokens: int,
         timeout_s: float,
-        held_elsewhere: bool = False,
+        is_reserved_elsewhere: bool = False,
     ) -> Work:
         return Work(
             attempt=attempt,
@@ -327,9 +327,9 @@
             memory_tokens=memory_tokens,
             prefill_tokens=prefill_tokens,
             output_tokens=output_tokens,
-            patience=timeout_s,
+            timeout_s=timeout_s,
             priority=request.priority,
-            held_elsewhere=held_elsewhere,
+            is_reserved_elsewhere=is_reserved_elsewhere,
         )
 
     def _log(self, request: Request, choice: Choice, part: str) -> None:
--- a/src/scalebend/edges/admin.py
+++ b/src/scalebend/edges/admin.py
@@ -190,15 +190,15 @@
                 return _build_response(
                     ConflictResponse(
                         error.kind.value,
-                        error.answer.title,
-                        error.answer.status,
+                        error.response.title,
+                        error.response.status,
                         error.detail,
                         Ran.NO.value,
                         winner.version,
                         winner.change,
                         winner.operator,
                     ),
-                    status=error.answer.status,
+                    status=error.response.status,
                 )
             case _:
                 raise ScalebendError(
--- a/src/scalebend/edges/exchange.py
+++ b/src/scalebend/edges/exchange.py
@@ -34,7 +34,7 @@
 from scalebend.exceptions import ScalebendError
 from scalebend.models.ids import AttemptId, RequestId, UpstreamId
 from scalebend.models.work import Request
-from scalebend.utils.decimals import read_decimal
+from scalebend.utils.decimals import parse_decimal
 from scalebend.utils.division import divide_up
 
 logger = structlog.get_logger(__name__)
@@ -356,7 +356,7 @@
 
 def _read_retry_after(response: aiohttp.ClientResponse) -> float | None:
     """Return the seconds of ``Retry-After``; ``None`` without a valid header."""
-    return read_decimal(response.headers.get("Retry-After"))
+    return parse_decimal(response.headers.get("Retry-After"))
 
 
 class _UpstreamProblem(msgspec.Struct):
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -30,9 +30,9 @@
 from scalebend.edges.gateway.upstream_choice import Target, UpstreamChoice
 from scalebend.edges.gateway.upstream_client import build_timeout
 from scalebend.exceptions import ErrorKind, RefusedError, UpstreamError
-from scalebend.models.calls import AnswerHeaders, Call, Outcome
+from scalebend.models.calls import Call, Outcome, ResponseHeaders
 from scalebend.models.ids import Fingerprint, UpstreamId
-from scalebend.models.request_limits import UNLIMITED, RequestLimit
+from scalebend.models.rate_limits import UNLIMITED, RateLimit
 from scalebend.models.routing import RouteKind
 from scalebend.platform.headers import (
     build_upstream_headers,
@@ -82,7 +82,7 @@
         """Whether an upstream of the placement is unavailable; others may be, too."""
         if self.outcome is Outcome.NOT_SENT:
             return True
-        is_unused = self.outcome in (Outcome.REJECTED, Outcome.LEFT)
+        is_unused = self.outcome in (Outcome.REJECTED, Outcome.WITHDRAWN)
         return is_unused and self.faulty is not None
 
 
@@ -172,16 +172,16 @@
         faulty = result.faulty or target.upstream
         if result.is_connection_lost:
             runtime.record_crash(self._fingerprint, faulty)
-        if result.outcome in (Outcome.SILENT, Outcome.TIMED_OUT):
+        if result.outcome in (Outcome.UNRESPONSIVE, Outcome.TIMED_OUT):
             runtime.record_unanswered(self._fingerprint, target.upstream)
-        if result.outcome in (Outcome.NOT_SENT, Outcome.SILENT):
+        if result.outcome in (Outcome.NOT_SENT, Outcome.UNRESPONSIVE):
             runtime.instance.balancer.record_unreachable(target.upstream, runtime.now())
         # A timeout alone may mean a queue: reports tell whether the replica is alive.
         if result.outcome is Outcome.NOT_SENT:
             runtime.record_replica_failure(faulty)
         if result.outcome is Outcome.REJECTED and target.job is not None:
             runtime.record_rejection(faulty)
-        if result.outcome in (Outcome.FAILED, Outcome.BROKEN, Outcome.NOT_SENT):
+        if result.outcome in (Outcome.FAILED, Outcome.INTERRUPTED, Outcome.NOT_SENT):
             runtime.instance.record_outcome(faulty, has_failed=True)
         decision = self._attempts.decide(
             result.outcome,
@@ -227,14 +227,14 @@
     async def _attempt(self, target: Target) -> _AttemptResult:
         if target.unavailable is not None:
             return _AttemptResult(
-                Outcome.LEFT, detail="not sent", faulty=target.unavailable
+                Outcome.WITHDRAWN, detail="not sent", faulty=target.unavailable
             )
         if self._compute_quarantine() > 0.0:
             # The quarantine began while the request waited to be sent.
-            return _AttemptResult(Outcome.LEFT, detail="held back")
+            return _AttemptResult(Outcome.WITHDRAWN, detail="held back")
         if not self._runtime.instance.may_send(target.upstream, self._runtime.now()):
             # Backoff or draining began after the upstream was chosen.
-            return _AttemptResult(Outcome.LEFT, detail="takes nothing now")
+            return _AttemptResult(Outcome.WITHDRAWN, detail="takes nothing now")
         attempts = self._runtime.attempts
         with attempts.watch(self._call.deadline, target.upstreams) as running:
             try:
@@ -246,13 +246,13 @@
             except aiohttp.ClientConnectorError as error:
                 return _AttemptResult(Outcome.NOT_SENT, detail=str(error))
             except UnresponsiveError:
-                return _AttemptResult(Outcome.SILENT)
+                return _AttemptResult(Outcome.UNRESPONSIVE)
             except (aiohttp.ClientError, OSError, GarbledEventsError) as error:
                 if not running.timeout.expired():
                     detail = f"{type(error).__name__}: {error}"
                     is_connection_lost = isinstance(error, _CONNECTION_ERRORS)
                     return _AttemptResult(
-                        Outcome.BROKEN,
+                        Outcome.INTERRUPTED,
                         detail=detail,
                         is_connection_lost=is_connection_lost,
                     )
@@ -260,7 +260,7 @@
                 return _AttemptResult(Outcome.TIMED_OUT)
             detail = f"{running.restarted_upstream} started again"
             return _AttemptResult(
-                Outcome.BROKEN,
+                Outcome.INTERRUPTED,
                 detail=detail,
                 faulty=running.restarted_upstream,
                 is_connection_lost=True,
@@ -271,7 +271,7 @@
     ) -> _AttemptResult:
         call = self._call
         # After a broken or unresponsive connection, pooled ones may be dead, too.
-        may_pool = call.route.may_repeat and not self._attempts.may_have_run
+        may_pool = call.route.is_idempotent and not self._attempts.may_have_run
         session = self._runtime.sessions.choose(may_pool=may_pool)
         read_timeout = self._compute_read_timeout(target)
         sending = session.request(
@@ -291,7 +291,7 @@
                 target, running, response, head, read_timeout
             )
 
-    def _record_sent(self, target: Target) -> RequestLimit:
+    def _record_sent(self, target: Target) -> RateLimit:
         """Count an attempt; return the currently known rate limit of its upstream."""
         runtime = self._runtime
         limit = runtime.instance.limits.get(target.upstream)
@@ -339,7 +339,7 @@
         )
 
     def _compute_read_timeout(self, target: Target) -> float | None:
-        if not self._call.route.may_repeat:
+        if not self._call.route.is_idempotent:
             return None
         return compute_first_byte_timeout(self._call.route, target.predicted)
 
@@ -348,13 +348,15 @@
         target: Target,
         running: RunningAttempt,
         response: aiohttp.ClientResponse,
-        head: AnswerHeaders,
+        head: ResponseHeaders,
         read_timeout: float | None,
     ) -> _AttemptResult:
         self._choice.load = head.load
         if head.request is not None and head.request != self._call.headers.request:
             response.close()
-            return _AttemptResult(Outcome.BROKEN, detail="answer to another request")
+            return _AttemptResult(
+                Outcome.INTERRUPTED, detail="answer to another request"
+            )
         if head.has_not_run and response.status >= 400:
             await read_body(response, read_timeout)
             detail = f"status {response.status}"
@@ -405,7 +407,9 @@
             await stream.write(forwarded.data)
         if cursor.has_partial:
             return _AttemptResult(
-                Outcome.BROKEN, detail="ended inside an event", is_connection_lost=True
+                Outcome.INTERRUPTED,
+                detail="ended inside an event",
+                is_connection_lost=True,
             )
         stream = self._stream or await self._open_stream(response)
         await stream.write_eof()
--- a/src/scalebend/edges/gateway/leader_calls.py
+++ b/src/scalebend/edges/gateway/leader_calls.py
@@ -15,7 +15,7 @@
     SendPermitRequest,
 )
 from scalebend.core.gateway.timeouts import LEADER_BACKOFF_S, PLACEMENT_TIMEOUT_S
-from scalebend.models.ids import InstanceId, SendId
+from scalebend.models.ids import InstanceId, SendPermitId
 from scalebend.models.placement import EngineWork, JobId
 
 logger = structlog.get_logger(__name__)
@@ -29,7 +29,7 @@
     def __init__(self, send: Callable[[InstanceId, LinkMessage], object]) -> None:
         self._send = send
         self._loop = asyncio.get_running_loop()
-        self._pending: dict[JobId | SendId, asyncio.Future[_Reply]] = {}
+        self._pending: dict[JobId | SendPermitId, asyncio.Future[_Reply]] = {}
         self._backoff_until = 0.0
 
     def receive(self, message: LinkMessage) -> bool:
@@ -70,7 +70,7 @@
     async def _request(
         self,
         leader: InstanceId | None,
-        request_id: JobId | SendId,
+        request_id: JobId | SendPermitId,
         request: PlacementRequest | SendPermitRequest,
         *,
         may_back_off: bool,
--- a/src/scalebend/edges/problems.py
+++ b/src/scalebend/edges/problems.py
@@ -26,14 +26,14 @@
 
 def build_problem(error: ScalebendError, request: str = "") -> Problem:
     """Return the problem document of an error."""
-    answer = error.answer
+    response = error.response
     return Problem(
         error.kind.value,
-        answer.title,
-        answer.status,
+        response.title,
+        response.status,
         error.detail,
         error.ran.value,
-        answer.retryable,
+        response.retryable,
         request,
     )
 
@@ -41,7 +41,7 @@
 def build_problem_response(error: ScalebendError, request: str = "") -> web.Response:
     """Return the HTTP response to an error, without ``Retry-After``."""
     return web.Response(
-        status=error.answer.status,
+        status=error.response.status,
         body=msgspec.json.encode(build_problem(error, request)),
         content_type=CONTENT_TYPE,
     )
