--- a/src/scalebend/soak/__init__.py
+++ b/src/scalebend/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomised soak: real processes, faults from outside them, promises checked."""
+"""Randomised soak test: real processes under injected faults, with checked promises."""
--- a/src/scalebend/soak/callers.py
+++ b/src/scalebend/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers behind a balancer, as the platform has one: they keep their connections."""
+"""Simulated callers, which reach the fronts through a balancer."""
 
 from __future__ import annotations
 
@@ -17,210 +17,228 @@
 from scalebend.soak import documents
 from scalebend.soak.deployment import Deployment
 from scalebend.soak.layout import ProcessName
-from scalebend.soak.observations import Asked, Kind, Observations
+from scalebend.soak.observations import CallerRequest, Observations, RequestKind
 from scalebend.soak.replicas import build_body, build_event
 
-CHECK_PERIOD = 1.0
-"""Seconds between two questions whether a front wants connections."""
+CHECK_INTERVAL_S = 1.0
+"""Seconds between two readiness checks of a front, and the timeout of each."""
 
-CHECKS_MISSED = 2
-"""Questions in a row without a yes after which a front gets none."""
+MAX_FAILED_CHECKS = 2
+"""Consecutive failed readiness checks after which a front gets no new connections."""
 
-MOST_ON_CONNECTION = 30
-"""Requests after which a caller may go to another front."""
+MAX_REQUESTS_PER_CONNECTION = 30
+"""Upper limit of the requests that a caller sends over one connection."""
 
-PAUSE = 0.15
-"""Mean seconds between two requests of one caller."""
+MEAN_REQUEST_GAP_S = 0.15
+"""Mean seconds from one response to the next request of the same caller."""
 
-CANCELLED = 0.05
-"""Part of the requests whose caller leaves early."""
+CANCELLED_SHARE = 0.05
+"""Share of the requests whose caller disconnects before the response."""
 
-EXTRA_KEY = 0.3
-"""Part of the requests that show a key which may have been revoked."""
+EXTRA_KEY_SHARE = 0.3
+"""Share of the requests that use a key which may have been revoked."""
 
-PATIENCE = 2.0
-"""Seconds beyond its wait after which a caller stops listening."""
+RESPONSE_MARGIN_S = 2.0
+"""Seconds beyond the timeout of a request after which its caller disconnects."""
 
 
-class _Shape(msgspec.Struct, frozen=True):
-    """What the requests of a kind look like."""
+class _RequestShape(msgspec.Struct, frozen=True):
+    """Properties that the requests of one kind share."""
 
     route: documents.RoutePath
-    wait: float
-    prompt: int = 0
+    timeout_s: float
+    prompt_tokens: int = 0
     events: int = 0
-    gap: float = 0.0
+    event_gap_s: float = 0.0
 
 
 SHAPES = {
-    Kind.REPEATABLE: _Shape(documents.REPEATABLE, 3.0),
-    Kind.ONCE: _Shape(documents.ONCE, 3.0),
-    Kind.QUICK_STREAM: _Shape(documents.QUICK, 4.0, documents.QUICK_PROMPT, 10, 0.02),
-    Kind.LONG_STREAM: _Shape(documents.LONG, 5.0, documents.LONG_PROMPT, 12, 0.1),
+    RequestKind.IDEMPOTENT: _RequestShape(documents.IDEMPOTENT, 3.0),
+    RequestKind.NON_IDEMPOTENT: _RequestShape(documents.NON_IDEMPOTENT, 3.0),
+    RequestKind.QUICK_STREAM: _RequestShape(
+        documents.QUICK, 4.0, documents.QUICK_PROMPT_TOKENS, 10, 0.02
+    ),
+    RequestKind.LONG_STREAM: _RequestShape(
+        documents.LONG, 5.0, documents.LONG_PROMPT_TOKENS, 12, 0.1
+    ),
 }
 
 WEIGHTS = {
-    Kind.REPEATABLE: 10,
-    Kind.ONCE: 10,
-    Kind.QUICK_STREAM: 14,
-    Kind.LONG_STREAM: 1,
+    RequestKind.IDEMPOTENT: 10,
+    RequestKind.NON_IDEMPOTENT: 10,
+    RequestKind.QUICK_STREAM: 14,
+    RequestKind.LONG_STREAM: 1,
 }
-"""How often each kind is sent: few long prompts, so that in calm none is refused."""
+"""Relative frequency of each kind; long prompts are rare so that none is rejected while
+no fault is active."""
 
 
 class Balancer:
-    """Which fronts get new connections."""
+    """Chooses the fronts for new connections by their readiness."""
 
     def __init__(self, deployment: Deployment, chooser: random.Random) -> None:
         self._deployment = deployment
         self._chooser = chooser
-        self._missed = dict.fromkeys(deployment.layout.fronts, CHECKS_MISSED)
+        self._failed_checks = dict.fromkeys(deployment.layout.fronts, MAX_FAILED_CHECKS)
 
     def choose(self) -> ProcessName:
-        """A front that is in; any, when fewer than half are."""
+        """Return a random ready front, or any front when fewer than half are ready."""
         fronts = self._deployment.layout.fronts
-        ready = [front for front in fronts if self._missed[front] < CHECKS_MISSED]
+        ready = [
+            front for front in fronts if self._failed_checks[front] < MAX_FAILED_CHECKS
+        ]
         return self._chooser.choice(ready if 2 * len(ready) >= len(fronts) else fronts)
 
     async def check(self, session: aiohttp.ClientSession) -> None:
-        """Ask all fronts again and again until cancelled."""
+        """Check the readiness of all fronts periodically until cancelled."""
         while True:
             fronts = self._deployment.layout.fronts
-            await asyncio.gather(*(self._ask(session, front) for front in fronts))
-            await asyncio.sleep(CHECK_PERIOD)
+            await asyncio.gather(
+                *(self._check_front(session, front) for front in fronts)
+            )
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    async def _ask(self, session: aiohttp.ClientSession, front: ProcessName) -> None:
-        url = f"http://{self._deployment.get_readiness(front)}/ready"
+    async def _check_front(
+        self, session: aiohttp.ClientSession, front: ProcessName
+    ) -> None:
+        url = f"http://{self._deployment.get_readiness_address(front)}/ready"
         is_ready = False
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with session.get(url) as answer:
-                is_ready = answer.status == 200
-        self._missed[front] = 0 if is_ready else self._missed[front] + 1
+            async with session.get(url) as response:
+                is_ready = response.status == 200
+        self._failed_checks[front] = 0 if is_ready else self._failed_checks[front] + 1
 
 
 class Caller:
-    """Sends one request after the other, many on one connection."""
+    """Sends requests one after another, several over each connection."""
 
     def __init__(
         self,
         number: int,
         deployment: Deployment,
         balancer: Balancer,
-        seen: Observations,
+        observations: Observations,
         seed: int,
     ) -> None:
         self._number = number
         self._deployment = deployment
         self._balancer = balancer
-        self._seen = seen
+        self._observations = observations
         self._chooser = random.Random(f"{seed}/{number}")
         self._requests = 0
 
-    async def call_for_ever(self) -> None:
+    async def call_forever(self) -> None:
         """Send requests until cancelled."""
         while True:
             front = self._balancer.choose()
             async with _open_session() as session:
-                for _ in range(self._chooser.randint(1, MOST_ON_CONNECTION)):
-                    asked = await self.call(session, front)
-                    await asyncio.sleep(self._chooser.expovariate(1.0 / PAUSE))
-                    if asked.status != 200:
+                for _ in range(self._chooser.randint(1, MAX_REQUESTS_PER_CONNECTION)):
+                    call = await self.call(session, front)
+                    await asyncio.sleep(
+                        self._chooser.expovariate(1.0 / MEAN_REQUEST_GAP_S)
+                    )
+                    if call.status != 200:
                         break
 
-    async def call(self, session: aiohttp.ClientSession, front: ProcessName) -> Asked:
-        """Send one request and note how it ended."""
+    async def call(
+        self, session: aiohttp.ClientSession, front: ProcessName
+    ) -> CallerRequest:
+        """Send one request and record its outcome."""
         kind = self._chooser.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
         shape = SHAPES[kind]
         self._requests += 1
         loop = asyncio.get_running_loop()
-        asked = Asked(
-            request=f"r-{self._number}-{self._requests}",
+        call = CallerRequest(
+            request_id=f"r-{self._number}-{self._requests}",
             kind=kind,
             front=front,
-            start=self._deployment.starts[front],
+            front_start=self._deployment.starts[front],
             version=self._choose_key(),
             sent_at=loop.time(),
-            wait=shape.wait,
+            timeout_s=shape.timeout_s,
             events=shape.events,
         )
-        self._seen.asked[asked.request] = asked
-        sending = asyncio.ensure_future(self._send(session, asked, shape))
-        limit = shape.wait + PATIENCE
-        if self._chooser.random() < CANCELLED:
-            asked.is_cancelled = True
-            limit = self._chooser.uniform(0.0, shape.wait / 4.0)
+        self._observations.caller_requests[call.request_id] = call
+        sending = asyncio.ensure_future(self._send(session, call, shape))
+        give_up_after_s = shape.timeout_s + RESPONSE_MARGIN_S
+        if self._chooser.random() < CANCELLED_SHARE:
+            call.is_cancelled = True
+            give_up_after_s = self._chooser.uniform(0.0, shape.timeout_s / 4.0)
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(give_up_after_s):
                 await sending
         except (aiohttp.ClientError, OSError) as error:
-            asked.detail = f"{type(error).__name__}: {error}"
+            call.detail = f"{type(error).__name__}: {error}"
         except TimeoutError:
-            asked.has_timed_out = not asked.is_cancelled
-        asked.ended_at = loop.time()
-        return asked
+            call.has_timed_out = not call.is_cancelled
+        call.ended_at = loop.time()
+        return call
 
     def _choose_key(self) -> RoutingVersion:
-        accepted = self._seen.accepted
-        if not accepted or self._chooser.random() > EXTRA_KEY:
+        accepted = self._observations.accepted
+        if not accepted or self._chooser.random() > EXTRA_KEY_SHARE:
             return RoutingVersion(0)
         return self._chooser.choice(accepted[-8:]).version
 
     async def _send(
-        self, session: aiohttp.ClientSession, asked: Asked, shape: _Shape
+        self, session: aiohttp.ClientSession, call: CallerRequest, shape: _RequestShape
     ) -> None:
-        address = self._deployment.get_calls(asked.front)
-        path = f"{shape.route.prefix}x?events={shape.events}&gap={shape.gap}"
-        prompt = PromptSize(shape.prompt, 500, 500) if shape.prompt else None
-        key = documents.build_key(asked.version)
-        headers = CallerHeaders(asked.request, shape.wait, key, None, prompt)
+        address = self._deployment.get_call_address(call.front)
+        path = f"{shape.route.prefix}x?events={shape.events}&gap={shape.event_gap_s}"
+        prompt = (
+            PromptSize(shape.prompt_tokens, 500, 500) if shape.prompt_tokens else None
+        )
+        key = documents.build_key(call.version)
+        headers = CallerHeaders(call.request_id, shape.timeout_s, key, None, prompt)
         async with session.post(
             URL(f"http://{address}{path}", encoded=True),
             headers=build_caller_headers(headers, documents.HOST),
-            data=asked.request.encode(),
-        ) as answer:
-            body = await answer.read()
-            asked.seal = answer.headers.get(SEAL)
-            asked.status = answer.status
-            if answer.status == 200:
-                asked.fault = _find_fault(asked, body)
-
-
-def _find_fault(asked: Asked, body: bytes) -> str:
-    """What is wrong with an answer that counts as a success."""
-    expected = build_body(asked.request)
-    if asked.events:
-        numbers = range(1, asked.events + 1)
-        expected = b"".join(build_event(asked.request, number) for number in numbers)
+            data=call.request_id.encode(),
+        ) as response:
+            body = await response.read()
+            call.seal = response.headers.get(SEAL)
+            call.status = response.status
+            if response.status == 200:
+                call.mismatch = _find_mismatch(call, body)
+
+
+def _find_mismatch(call: CallerRequest, body: bytes) -> str:
+    """Return how a successful response differs from the expected one, or ``""``."""
+    expected = build_body(call.request_id)
+    if call.events:
+        numbers = range(1, call.events + 1)
+        expected = b"".join(build_event(call.request_id, number) for number in numbers)
     if body != expected:
         return f"body of {len(body)} bytes, not {len(expected)}: {body[-60:]!r}"
-    if asked.seal is None or not asked.seal.endswith(f"/{asked.request}"):
-        return f"seal {asked.seal}"
+    if call.seal is None or not call.seal.endswith(f"/{call.request_id}"):
+        return f"seal {call.seal}"
     return ""
 
 
 @contextlib.asynccontextmanager
 async def _open_session() -> AsyncIterator[aiohttp.ClientSession]:
-    """A session with one connection, whose requests are never sent twice."""
+    """Open a session with one connection that never sends a request twice."""
     connector = aiohttp.TCPConnector(limit=1)
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=1.0)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
+        # aiohttp would otherwise resend a request whose connection broke.
         session._retry_connection = False
         yield session
 
 
 @contextlib.asynccontextmanager
 async def run_callers(
-    count: int, deployment: Deployment, seen: Observations, seed: int
+    count: int, deployment: Deployment, observations: Observations, seed: int
 ) -> AsyncIterator[None]:
-    """Let ``count`` callers send requests until the block ends; all are awaited."""
+    """Run ``count`` callers until the block ends, then cancel and await them."""
     balancer = Balancer(deployment, random.Random(f"{seed}/balancer"))
-    timeout = aiohttp.ClientTimeout(total=CHECK_PERIOD)
+    timeout = aiohttp.ClientTimeout(total=CHECK_INTERVAL_S)
     connector = aiohttp.TCPConnector(force_close=True)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
         checking = asyncio.create_task(balancer.check(session))
         callers = [
             asyncio.create_task(
-                Caller(n, deployment, balancer, seen, seed).call_for_ever()
+                Caller(n, deployment, balancer, observations, seed).call_forever()
             )
             for n in range(count)
         ]
--- a/src/scalebend/soak/deployment.py
+++ b/src/scalebend/soak/deployment.py
@@ -1,7 +1,7 @@
-"""The system's processes on loopback addresses, each behind a proxy of its own.
+"""Runs the gateway's processes on loopback addresses, each behind its own proxies.
 
-Every process has two addresses: the one where it listens, and the one that others
-know, where a proxy listens. Processes are ended by their ids, and only these.
+Every process has a listen address and an advertised address, on which a proxy listens.
+Signals go only to processes that the deployment itself started.
 """
 
 from __future__ import annotations
@@ -25,7 +25,12 @@
 from scalebend.platform.early_settings import SETTINGS_VARIABLE
 from scalebend.platform.settings import encode_gateway_settings
 from scalebend.soak.layout import Layout, ProcessName
-from scalebend.soak.misbehaving import SYNCED, Orders, read_synced, write_orders
+from scalebend.soak.misbehaving import (
+    SYNCED_FILE,
+    ProcessFaults,
+    read_synced,
+    write_process_faults,
+)
 from scalebend.soak.observations import Exit, Observations
 from scalebend.standins.ports import find_free_ports
 from scalebend.standins.proxy import Proxy, run_proxy
@@ -33,62 +38,74 @@
 logger = structlog.get_logger(__name__)
 
 BOUNDS = Bounds(retry_slack=20.0)
-"""What the deployment promises: the platform's usual times, and few spare retries."""
+"""Bounds of the deployment: the platform's defaults, with a small retry allowance."""
 
-HEARTBEAT = 1.2
+HEARTBEAT_INTERVAL_S = 1.2
 """Seconds between two registrations of a replica, as on the platform."""
 
-WATCH = 0.05
-"""Seconds between two looks at which processes ended."""
+WATCH_INTERVAL_S = 0.05
+"""Seconds between two checks for processes that ended."""
 
-RESTART_DELAY = 0.3
-"""Seconds after which a process that ended is started again."""
+RESTART_DELAY_S = 0.3
+"""Seconds after an unexpected exit until the process is restarted."""
 
-ZONES = tuple(AvailabilityZone(name) for name in ("zone-a", "zone-b", "zone-c"))
+AVAILABILITY_ZONES = tuple(
+    AvailabilityZone(name) for name in ("zone-a", "zone-b", "zone-c")
+)
 
-_FIRST_HOST = 10
-_FIRST_PROXIED = 110
+_FIRST_LISTEN_HOST = 10
+_FIRST_PROXY_HOST = 110
 
 
 class Deployment:
-    """Processes of the system, by name."""
+    """Starts, stops and signals the processes of one run, by name."""
 
-    def __init__(self, folder: Path, layout: Layout, seen: Observations) -> None:
+    def __init__(
+        self, folder: Path, layout: Layout, observations: Observations
+    ) -> None:
         self.folder = folder
         self.layout = layout
         self.starts = dict.fromkeys(layout.processes, 0)
-        self._seen = seen
+        self._observations = observations
         self._running: dict[ProcessName, subprocess.Popen[bytes]] = {}
-        self._expected: set[int] = set()
-        # Runs beside each other have networks of their own.
+        self._stopping_pids: set[int] = set()
+        # Concurrent runs use separate loopback networks.
         self._network = f"127.{1 + os.getpid() % 200}.{os.getpid() // 200 % 250}"
         ports = find_free_ports(5, "0.0.0.0")
-        self._link, self._control, self._callers, self._ready, self._metrics = ports
-        self.links: dict[ProcessName, Proxy] = {}
-        self.calls: dict[ProcessName, Proxy] = {}
+        (
+            self._link_port,
+            self._control_port,
+            self._callers_port,
+            self._readiness_port,
+            self._metrics_port,
+        ) = ports
+        self.link_proxies: dict[ProcessName, Proxy] = {}
+        self.call_proxies: dict[ProcessName, Proxy] = {}
 
     # Addresses
 
     def _get_host(self, name: ProcessName, first: int) -> str:
         return f"{self._network}.{first + self.layout.processes.index(name)}"
 
-    def get_link(self, name: ProcessName) -> str:
-        """Address of a process' links, as others know it: its instance id."""
-        return f"{self._get_host(name, _FIRST_PROXIED)}:{self._link}"
+    def get_link_address(self, name: ProcessName) -> str:
+        """Return the advertised link address of a process, which is its instance id."""
+        return f"{self._get_host(name, _FIRST_PROXY_HOST)}:{self._link_port}"
 
-    def get_calls(self, name: ProcessName) -> str:
-        """Address for callers of a front, or for calls to a control instance."""
-        port = self._control if name in self.layout.controls else self._callers
-        return f"{self._get_host(name, _FIRST_PROXIED)}:{port}"
+    def get_call_address(self, name: ProcessName) -> str:
+        """Return the advertised HTTP address of a front or of a control instance."""
+        port = (
+            self._control_port if name in self.layout.controls else self._callers_port
+        )
+        return f"{self._get_host(name, _FIRST_PROXY_HOST)}:{port}"
 
-    def get_readiness(self, name: ProcessName) -> str:
-        """Where a front says whether it wants new connections."""
-        return f"{self._get_host(name, _FIRST_HOST)}:{self._ready}"
+    def get_readiness_address(self, name: ProcessName) -> str:
+        """Return the address of a front's readiness endpoint, which has no proxy."""
+        return f"{self._get_host(name, _FIRST_LISTEN_HOST)}:{self._readiness_port}"
 
     # Processes
 
     def start(self, name: ProcessName) -> None:
-        """Start a process, unless it runs."""
+        """Start a process unless it is already running."""
         if name in self._running:
             return
         folder = self.folder / name
@@ -97,7 +114,7 @@
         path = folder / "settings.json"
         path.write_bytes(encode_gateway_settings(self._build_settings(name)))
         self.starts[name] = number + 1
-        host = self._get_host(name, _FIRST_HOST)
+        host = self._get_host(name, _FIRST_LISTEN_HOST)
         with (folder / f"log-{number}").open("wb") as log:
             self._running[name] = subprocess.Popen(
                 [
@@ -107,7 +124,7 @@
                     str(folder),
                     "gateway",
                     "--link-listen",
-                    f"{host}:{self._link}",
+                    f"{host}:{self._link_port}",
                 ],
                 env={**os.environ, SETTINGS_VARIABLE: str(path)},
                 stdout=log,
@@ -116,22 +133,24 @@
 
     def _build_settings(self, name: ProcessName) -> GatewaySettings:
         is_control = name in self.layout.controls
-        host = self._get_host(name, _FIRST_HOST)
+        host = self._get_host(name, _FIRST_LISTEN_HOST)
         position = self.layout.processes.index(name)
         return GatewaySettings(
             name=name,
             role=GatewayRole.CONTROL if is_control else GatewayRole.FRONT,
-            availability_zone=ZONES[position % len(ZONES)],
-            link_address=self.get_link(name),
-            seeds=[self.get_calls(control) for control in self.layout.controls[:3]],
+            availability_zone=AVAILABILITY_ZONES[position % len(AVAILABILITY_ZONES)],
+            link_address=self.get_link_address(name),
+            seeds=[
+                self.get_call_address(control) for control in self.layout.controls[:3]
+            ],
             is_first_start=self.starts[name] == 0,
             tolerated_losses=self.layout.tolerated_losses,
-            heartbeat_interval=HEARTBEAT,
+            heartbeat_interval=HEARTBEAT_INTERVAL_S,
             bounds=BOUNDS,
-            callers_address=None if is_control else f"{host}:{self._callers}",
-            readiness_address=None if is_control else f"{host}:{self._ready}",
-            control_address=f"{host}:{self._control}" if is_control else None,
-            metrics_port=self._metrics,
+            callers_address=None if is_control else f"{host}:{self._callers_port}",
+            readiness_address=None if is_control else f"{host}:{self._readiness_port}",
+            control_address=f"{host}:{self._control_port}" if is_control else None,
+            metrics_port=self._metrics_port,
             data_folder=str(self.folder / name / "data") if is_control else None,
         )
 
@@ -140,31 +159,37 @@
         name: ProcessName,
         *,
         loses_disk: bool = False,
-        tear: Callable[[int], int] | None = None,
+        choose_kept_bytes: Callable[[int], int] | None = None,
     ) -> None:
-        """Kill a process; ``tear`` tells how much of its unsynced bytes stay."""
+        """Kill a process.
+
+        ``choose_kept_bytes`` simulates a power loss: given the number of unsynced bytes
+        of a file, it returns how many of them survive.
+        """
         process = self._running.pop(name, None)
         if process is None:
             return
         process.kill()
         process.wait()
-        if tear is not None:
-            self._lose_unsynced(name, tear)
+        if choose_kept_bytes is not None:
+            self._lose_unsynced(name, choose_kept_bytes)
         if loses_disk:
             shutil.rmtree(self.folder / name / "data", ignore_errors=True)
-            (self.folder / name / SYNCED).unlink(missing_ok=True)
+            (self.folder / name / SYNCED_FILE).unlink(missing_ok=True)
 
-    def _lose_unsynced(self, name: ProcessName, tear: Callable[[int], int]) -> None:
+    def _lose_unsynced(
+        self, name: ProcessName, choose_kept_bytes: Callable[[int], int]
+    ) -> None:
         synced = read_synced(self.folder / name)
         for path in (self.folder / name / "data").glob("*"):
-            # A file may have got its name after it was synced under another.
+            # A file may have been synced as ``.new`` and then renamed.
             size = max(synced.get(str(path), 0), synced.get(f"{path}.new", 0))
             unsynced = path.stat().st_size - size
             if unsynced > 0:
-                os.truncate(path, size + tear(unsynced))
+                os.truncate(path, size + choose_kept_bytes(unsynced))
 
     def signal(self, name: ProcessName, number: int) -> int | None:
-        """Send a signal; return the id of the process, ``None`` if there is none."""
+        """Send a signal; return the process id, or ``None`` if it is not running."""
         process = self._running.get(name)
         if process is None or process.poll() is not None:
             return None
@@ -172,16 +197,16 @@
         return process.pid
 
     async def stop(self, name: ProcessName) -> bool:
-        """Stop a process as planned; return whether it ended within its grace time."""
+        """Terminate a process; return whether it ended within its grace period."""
         process = self._running.get(name)
         if process is None or process.poll() is not None:
             return True
-        self._expected.add(process.pid)
+        self._stopping_pids.add(process.pid)
         process.terminate()
         try:
             async with asyncio.timeout(BOUNDS.drain_grace):
                 while process.poll() is None:
-                    await asyncio.sleep(WATCH)
+                    await asyncio.sleep(WATCH_INTERVAL_S)
         except TimeoutError:
             if self._running.get(name) is process:
                 self.kill(name)
@@ -189,61 +214,63 @@
         if self._running.get(name) is process:
             del self._running[name]
             if process.returncode != 0:
-                self._note_exit(name, process.returncode)
+                self._record_exit(name, process.returncode)
         return True
 
-    def order(self, name: ProcessName, orders: Orders) -> None:
-        """Let the clock or the disk of a process misbehave."""
-        write_orders(self.folder / name, orders)
+    def set_process_faults(
+        self, name: ProcessName, process_faults: ProcessFaults
+    ) -> None:
+        """Set how the clock and the disk of a process misbehave."""
+        write_process_faults(self.folder / name, process_faults)
 
     async def watch(self) -> None:
-        """Start again what ended by itself, and remember that it did."""
+        """Restart processes that ended unexpectedly and record their exits."""
         while True:
-            await asyncio.sleep(WATCH)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             for name, process in list(self._running.items()):
-                if process.poll() is None or process.pid in self._expected:
+                if process.poll() is None or process.pid in self._stopping_pids:
                     continue
                 del self._running[name]
-                self._note_exit(name, process.returncode)
-                await asyncio.sleep(RESTART_DELAY)
+                self._record_exit(name, process.returncode)
+                await asyncio.sleep(RESTART_DELAY_S)
                 self.start(name)
 
-    def _note_exit(self, name: ProcessName, code: int) -> None:
+    def _record_exit(self, name: ProcessName, code: int) -> None:
         now = asyncio.get_running_loop().time()
-        self._seen.exits.append(Exit(name, now, code))
+        self._observations.exits.append(Exit(name, now, code))
         logger.error("process ended by itself", process=name, code=code)
 
     def kill_all(self) -> None:
-        """End every process that still runs."""
+        """Kill every process that is still running, also a suspended one."""
         for name in list(self._running):
             self.signal(name, signal.SIGCONT)
             self.kill(name)
 
 
-def draw_tear(chooser: random.Random) -> Callable[[int], int]:
-    """How many of some unsynced bytes stay: none, all, or a part."""
+def build_kept_bytes_chooser(chooser: random.Random) -> Callable[[int], int]:
+    """Return a function that draws how many unsynced bytes survive a power loss."""
     return lambda size: chooser.choice((0, size, chooser.randint(0, size)))
 
 
 @contextlib.asynccontextmanager
 async def run_deployment(
-    folder: Path, layout: Layout, seen: Observations
+    folder: Path, layout: Layout, observations: Observations
 ) -> AsyncIterator[Deployment]:
-    """Run all processes behind their proxies; end them afterwards."""
-    deployment = Deployment(folder, layout, seen)
+    """Run all processes behind their proxies until the block ends, then kill them."""
+    deployment = Deployment(folder, layout, observations)
     async with contextlib.AsyncExitStack() as stack:
         for name in layout.processes:
-            host = deployment._get_host(name, _FIRST_HOST)
-            calls = deployment.get_calls(name)
-            port = calls.rpartition(":")[2]
-            deployment.calls[name] = await stack.enter_async_context(
-                run_proxy(calls, f"{host}:{port}")
+            host = deployment._get_host(name, _FIRST_LISTEN_HOST)
+            call_address = deployment.get_call_address(name)
+            port = call_address.rpartition(":")[2]
+            deployment.call_proxies[name] = await stack.enter_async_context(
+                run_proxy(call_address, f"{host}:{port}")
             )
             if name in layout.controls:
-                deployment.links[name] = await stack.enter_async_context(
+                deployment.link_proxies[name] = await stack.enter_async_context(
                     run_proxy(
-                        deployment.get_link(name),
-                        f"{host}:{deployment._link}",
+                        deployment.get_link_address(name),
+                        f"{host}:{deployment._link_port}",
                         read_introduction,
                     )
                 )
--- a/src/scalebend/soak/documents.py
+++ b/src/scalebend/soak/documents.py
@@ -1,7 +1,7 @@
-"""Routing documents of a run, made so that replicas can tell which one was obeyed.
+"""Routing documents of a run, built so that replicas see which version a front used.
 
-The customer's name ends with the version of the document. One key belongs to the
-customer in every version; others come and are revoked.
+The customer's name ends with the version of the document. The customer has one key that
+is valid in every version, and others that are added and revoked.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 LASTING_KEY = "key-lasting"
 """Valid in every version."""
 
-MOST_EXTRA_KEYS = 4
-"""Keys beside it that a version holds."""
+MAX_EXTRA_KEYS = 4
+"""Limit of the earlier keys that a new version keeps beside its own."""
 
 ENGINE = EngineProfile(
     slots=8,
@@ -39,38 +39,38 @@
     read_tokens_per_second=256_000.0,
     pairs_ms_per_million=0.0917,
 )
-"""The platform's engine, with little memory so that long prompts need several."""
+"""The platform's engine with a small KV cache: long prompts need several engines."""
 
-QUICK_PROMPT = 5_000
-LONG_PROMPT = 100_000
-"""Tokens of prompts: the long ones exceed the memory of one engine."""
+QUICK_PROMPT_TOKENS = 5_000
+LONG_PROMPT_TOKENS = 100_000
+"""Prompt lengths; the long one exceeds the KV cache of one engine."""
 
-REQUEST_TIMEOUT = 5.0
-"""Seconds after which a request is ended, whatever its caller allows."""
+REQUEST_TIMEOUT_S = 5.0
+"""Timeout of all routes in seconds, whatever timeout the caller sends."""
 
 
 class RoutePath(msgspec.Struct, frozen=True):
-    """A route by what it promises."""
+    """One route: its path prefix, kind, service and target latency in seconds."""
 
     prefix: str
     kind: RouteKind
     service: ServiceName
-    target: float
+    target_latency_s: float
 
 
-REPEATABLE = RoutePath("/repeatable/", RouteKind.IDEMPOTENT, PLAIN, 0.3)
-ONCE = RoutePath("/once/", RouteKind.NON_IDEMPOTENT, PLAIN, 0.3)
+IDEMPOTENT = RoutePath("/repeatable/", RouteKind.IDEMPOTENT, PLAIN, 0.3)
+NON_IDEMPOTENT = RoutePath("/once/", RouteKind.NON_IDEMPOTENT, PLAIN, 0.3)
 QUICK = RoutePath("/quick/", RouteKind.STREAMING, ENGINES, 0.3)
 LONG = RoutePath("/long/", RouteKind.STREAMING, ENGINES, 3.0)
 
 
 def build_key(version: RoutingVersion) -> str:
-    """The key that came with a version."""
+    """Return the key that a version added, or the lasting key for version 0."""
     return f"key-{version}" if version else LASTING_KEY
 
 
 def read_version(customer: str) -> RoutingVersion:
-    """The version in a customer's name; 0 when it names none."""
+    """Return the version in a customer's name, or 0 if it contains none."""
     number = customer.rpartition("-")[2]
     return RoutingVersion(int(number)) if number.isdigit() else RoutingVersion(0)
 
@@ -78,11 +78,11 @@
 def build_routing(
     version: RoutingVersion, extra_keys: tuple[RoutingVersion, ...]
 ) -> Routing:
-    """The document of a version, which holds the keys that came with others."""
-    keys = (LASTING_KEY, *(build_key(one) for one in extra_keys))
+    """Build the document of a version, with the keys that ``extra_keys`` added."""
+    keys = (LASTING_KEY, *(build_key(key_version) for key_version in extra_keys))
     return Routing(
         version,
-        tuple(_build_route(path) for path in (REPEATABLE, ONCE, QUICK, LONG)),
+        tuple(_build_route(path) for path in (IDEMPOTENT, NON_IDEMPOTENT, QUICK, LONG)),
         (
             RoutedService(ENGINES, 200, "/health", ENGINE),
             RoutedService(PLAIN, 100, "/health", None),
@@ -93,17 +93,17 @@
 
 
 def _build_route(path: RoutePath) -> Route:
-    may_repeat = path.kind is not RouteKind.NON_IDEMPOTENT
+    is_idempotent = path.kind is not RouteKind.NON_IDEMPOTENT
     return Route(
         name=path.prefix.strip("/"),
         host=HOST,
         path_prefix=path.prefix,
         kind=path.kind,
-        timeout=REQUEST_TIMEOUT,
-        target_latency=path.target,
+        timeout=REQUEST_TIMEOUT_S,
+        target_latency=path.target_latency_s,
         priority=1,
         services=(WeightedService(path.service, 1.0),),
-        attempts_most=2 if may_repeat else 1,
+        attempts_most=2 if is_idempotent else 1,
         is_public=False,
         is_resumable=path.kind is RouteKind.STREAMING,
         event_gap=0.2 if path.kind is RouteKind.STREAMING else None,
--- a/src/scalebend/soak/faults.py
+++ b/src/scalebend/soak/faults.py
@@ -1,7 +1,8 @@
-"""Faults of a soak run, and the schedule that a seed gives.
+"""Faults of a soak run, and the schedule that a seed determines.
 
-A schedule is made of series: several faults within a few seconds, overlapping, then a
-pause long enough for the promises that hold only in calm to be checked.
+A schedule consists of series: several overlapping faults that start within a few
+seconds, then a calm period in which the promises that hold only without faults can be
+checked.
 """
 
 from __future__ import annotations
@@ -15,109 +16,110 @@
 from scalebend.soak.layout import Layout, ProcessName
 from scalebend.standins.proxy import Direction
 
-FIRST_AT = 2.0
-"""Seconds from the start of the load to the first fault."""
+FIRST_SERIES_AT_S = 2.0
+"""Seconds from the start of the load to the first series."""
 
-CALM = 11.0
-"""Seconds without new faults between two series: longer than the time after which a
-process counts as undisturbed, so that every promise is checked in each pause."""
+CALM_S = 11.0
+"""Seconds without new faults between two series: longer than the settling time of the
+promises, so that each of them is checked in every calm period."""
 
-PLANNED_AFTER = 6.5
-"""Seconds of calm after which a replica leaves and a document changes, as planned: what
-is promised of them in calm could not be checked within a series."""
+PLANNED_WORK_DELAY_S = 6.5
+"""Seconds into a calm period at which replicas drain and the routing document changes:
+what is promised of planned work in calm cannot be checked within a series."""
 
-SERIES_LENGTH = 6.0
-"""Seconds over which the faults of one series begin."""
+SERIES_DURATION_S = 6.0
+"""Seconds over which the starts of the faults in one series spread."""
 
-LEAST_IN_SERIES = 2
-MOST_IN_SERIES = 10
-"""Faults of one series; most of them overlap with others."""
+MIN_SERIES_FAULTS = 2
+MAX_SERIES_FAULTS = 10
+"""Bounds of the number of randomly drawn faults in one series."""
 
-SHORTEST = 0.3
-LONGEST = 4.0
-"""Seconds that most faults last."""
+MIN_FAULT_S = 0.3
+MAX_FAULT_S = 4.0
+"""Bounds in seconds of the duration of most faults."""
 
-LIMIT_LASTS = 4.0
-"""Seconds for which replicas name their limits: over before the next calm is checked,
-since all of a sort name one, so that those in use are among them."""
+RATE_LIMIT_DURATION_S = 4.0
+"""Seconds for which all replicas of a service, so also those in use, announce a rate
+limit. It ends before the next calm period is checked."""
 
-LEAST_RATE = 0.3
-MOST_RATE = 1.0
-"""Requests a second that such a replica takes: a part of what it gets otherwise."""
+MIN_RATE_LIMIT_PER_S = 0.3
+MAX_RATE_LIMIT_PER_S = 1.0
+"""Bounds of an announced rate limit in requests per second, below the usual load."""
 
-TIRED_LASTS = 3.0
-"""Seconds for which replicas turn away what comes, and ask for pauses."""
+REJECTION_DURATION_S = 3.0
+"""Seconds for which replicas reject all requests and ask for a backoff."""
 
-SHORTEST_PAUSE = 0.7
-LONGEST_PAUSE = 2.5
-"""Seconds of a pause that such a replica asks for."""
+MIN_BACKOFF_S = 0.7
+MAX_BACKOFF_S = 2.5
+"""Bounds in seconds of the backoff that such a replica asks for."""
 
-LASTING_SHARE = 0.15
-LASTING = 9.0
-"""Part of the faults that last longer, and how long at most, in seconds: a process that
-is cut off must stop admitting before a revoked key's time is over."""
+LONG_FAULT_SHARE = 0.15
+MAX_LONG_FAULT_S = 9.0
+"""Share of the faults that last longer, and their longest duration in seconds: an
+isolated process must stop admitting requests before a key's revocation time ends."""
 
-DISK_RECOVERY = 6.0
-"""Seconds after a lost disk until the next may be lost: the new member learns, then
-votes, within four seconds."""
+DISK_RECOVERY_S = 6.0
+"""Seconds after the loss of a disk until another may be lost: the new member has to
+catch up as a learner and to become a voter."""
 
 
 class DiskMode(Enum):
-    """How the disk of a process behaves."""
+    """How sync calls of a process behave."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     STALLED = "stalled"
     FULL = "full"
 
 
 class ReplicaMode(Enum):
-    """How a stand-in replica treats requests."""
+    """How a stand-in replica handles requests."""
 
-    SOUND = "sound"
-    BROKEN = "broken"
-    """Runs the request, then resets the connection; a stream, inside an event."""
+    HEALTHY = "sound"
+    RESETTING = "broken"
+    """Runs the request, then resets the connection; in streams, within an event."""
 
     FAILING = "failing"
-    """Runs the request and answers with a failure of its own."""
+    """Runs the request and responds with an error of its own, status 500."""
 
     FULL = "full"
-    """Refuses, saying that it did not run the request."""
+    """Rejects the request and reports that it did not run."""
 
-    EXTRA = "extra"
-    """Sends a second answer after the whole one."""
+    EXTRA_RESPONSE = "extra"
+    """Sends a second response after the complete one."""
 
-    FOREIGN = "foreign"
-    """Answers with the id of another request."""
+    FOREIGN_ID = "foreign"
+    """Responds with the id of another request."""
 
 
 class Kill(msgspec.Struct, frozen=True, tag=True):
-    """Processes are killed at once and started again after ``down`` seconds."""
+    """Kills processes together and restarts them after ``down`` seconds."""
 
     processes: tuple[ProcessName, ...]
     down: float
     has_power_loss: bool = False
-    """Whether bytes that were not synced are lost, too."""
+    """Whether unsynced bytes are lost as well."""
 
     loses_disk: bool = False
 
 
 class Stop(msgspec.Struct, frozen=True, tag=True):
-    """A planned stop; the process is started again once it has ended."""
+    """Terminates a process as planned and restarts it once it has ended."""
 
     process: ProcessName
 
 
 class Pause(msgspec.Struct, frozen=True, tag=True):
-    """A process stands still."""
+    """Suspends a process for ``lasts`` seconds."""
 
     process: ProcessName
     lasts: float
 
 
 class Impair(msgspec.Struct, frozen=True, tag=True):
-    """Bytes on connections to ``target`` are held back, or come late.
+    """Holds back or delays the bytes on connections to ``target``.
 
-    Those of one dialler, or all if it is ``None``.
+    Affects the connections of one dialler, or all if it is ``None``; ``delay`` and
+    ``lasts`` are in seconds.
     """
 
     target: ProcessName
@@ -128,13 +130,16 @@
 
 
 class Reset(msgspec.Struct, frozen=True, tag=True):
-    """All connections to ``target`` are reset."""
+    """Resets all connections to ``target``."""
 
     target: ProcessName
 
 
 class Disorder(msgspec.Struct, frozen=True, tag=True):
-    """The disk of a process misbehaves, or its time of day jumps and jumps back."""
+    """Makes the disk of a process misbehave, or its time of day jump and jump back.
+
+    ``clock_step`` and ``lasts`` are in seconds.
+    """
 
     process: ProcessName
     disk: DiskMode
@@ -143,46 +148,49 @@
 
 
 class Misbehave(msgspec.Struct, frozen=True, tag=True):
-    """A replica treats requests badly."""
+    """Makes a replica mishandle requests for ``lasts`` seconds."""
 
     replica: int
     mode: ReplicaMode
     lasts: float
 
 
-class Leave(msgspec.Struct, frozen=True, tag=True):
-    """A replica drains and leaves; another takes its place."""
+class Drain(msgspec.Struct, frozen=True, tag="Leave"):
+    """Drains and deregisters a replica; a new incarnation takes its place."""
 
     replica: int
-    by_answers: bool = False
-    """Whether only its answers say so, while its registrations say that it is ready."""
+    by_responses: bool = msgspec.field(default=False, name="by_answers")
+    """Whether only its responses announce it, while its registrations do not."""
 
 
 class Crash(msgspec.Struct, frozen=True, tag=True):
-    """A replica is gone without a word and back after ``down`` seconds."""
+    """Ends a replica without notice; a new one follows after ``down`` seconds."""
 
     replica: int
     down: float
 
 
-class Limit(msgspec.Struct, frozen=True, tag=True):
-    """Replicas name a limit on requests a second each, from all fronts together."""
+class RateLimit(msgspec.Struct, frozen=True, tag="Limit"):
+    """Makes replicas announce a rate limit.
+
+    ``rate`` is in requests per second at each replica, from all fronts together.
+    """
 
     replicas: tuple[int, ...]
     rate: float
     lasts: float
 
 
-class Tire(msgspec.Struct, frozen=True, tag=True):
-    """Replicas turn away what comes, and ask for ``pause`` seconds without requests."""
+class Reject(msgspec.Struct, frozen=True, tag="Tire"):
+    """Makes replicas reject all requests and ask for a backoff, in seconds."""
 
     replicas: tuple[int, ...]
-    pause: float
+    backoff: float = msgspec.field(name="pause")
     lasts: float
 
 
 class Change(msgspec.Struct, frozen=True, tag=True):
-    """Routing documents in quick succession."""
+    """Sends ``count`` new routing documents in quick succession."""
 
     count: int
     revokes: bool
@@ -196,23 +204,23 @@
     | Reset
     | Disorder
     | Misbehave
-    | Leave
+    | Drain
     | Crash
-    | Limit
-    | Tire
+    | RateLimit
+    | Reject
     | Change
 )
 
 
 class ScheduledFault(msgspec.Struct, frozen=True):
-    """A fault and when it begins, in seconds from the start of the load."""
+    """A fault and its start in seconds from the start of the load."""
 
     at: float
     fault: Fault
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """All faults of a run, and when the load ends."""
+    """All faults of a run, and the end of the load in seconds from its start."""
 
     faults: list[ScheduledFault]
     ends: float
@@ -221,52 +229,59 @@
 def build_schedule(seed: int, length: float, layout: Layout) -> Schedule:
     """Draw the faults of a run of about ``length`` seconds."""
     chooser = random.Random(seed)
-    # Apart from the rest, so that seeds that were kept still give the same faults.
-    limits = random.Random(f"{seed}/limits")
-    words = random.Random(f"{seed}/words")
+    # Separate generators keep the other faults of each seed as they are.
+    rate_limit_random = random.Random(f"{seed}/limits")
+    response_fault_random = random.Random(f"{seed}/words")
     drawer = _Drawer(chooser, layout)
     faults: list[ScheduledFault] = []
-    at = FIRST_AT
+    at = FIRST_SERIES_AT_S
     while at < length:
-        for _ in range(chooser.randint(LEAST_IN_SERIES, MOST_IN_SERIES)):
-            begins = at + chooser.uniform(0.0, SERIES_LENGTH)
+        for _ in range(chooser.randint(MIN_SERIES_FAULTS, MAX_SERIES_FAULTS)):
+            begins = at + chooser.uniform(0.0, SERIES_DURATION_S)
             faults.append(ScheduledFault(begins, drawer.draw(begins)))
-        begins = at + limits.uniform(0.0, SERIES_LENGTH)
-        faults.append(ScheduledFault(begins, _draw_limit(limits, layout)))
-        for word in (_draw_tire(words, layout), _draw_farewell(words, layout)):
-            begins = at + words.uniform(0.0, SERIES_LENGTH)
-            faults.append(ScheduledFault(begins, word))
-        planned_at = at + SERIES_LENGTH + PLANNED_AFTER
-        # An engine is looked at again before each delayed send, a plain one is not.
+        begins = at + rate_limit_random.uniform(0.0, SERIES_DURATION_S)
+        faults.append(
+            ScheduledFault(begins, _draw_rate_limit(rate_limit_random, layout))
+        )
+        for fault in (
+            _draw_rejection(response_fault_random, layout),
+            _draw_drain_notice(response_fault_random, layout),
+        ):
+            begins = at + response_fault_random.uniform(0.0, SERIES_DURATION_S)
+            faults.append(ScheduledFault(begins, fault))
+        planned_at = at + SERIES_DURATION_S + PLANNED_WORK_DELAY_S
+        # Both services: before a delayed send, a front checks only engines again.
         for numbers in (layout.engine_replicas, layout.plain_replicas):
-            leaving = Leave(chooser.choice(numbers))
-            faults.append(ScheduledFault(planned_at, leaving))
+            planned_drain = Drain(chooser.choice(numbers))
+            faults.append(ScheduledFault(planned_at, planned_drain))
         faults.append(ScheduledFault(planned_at, Change(1, revokes=False)))
-        at += SERIES_LENGTH + CALM
+        at += SERIES_DURATION_S + CALM_S
     faults.sort(key=lambda scheduled: scheduled.at)
     return Schedule(faults, at)
 
 
-def _draw_limit(chooser: random.Random, layout: Layout) -> Limit:
-    rate = round(chooser.uniform(LEAST_RATE, MOST_RATE), 2)
+def _draw_rate_limit(chooser: random.Random, layout: Layout) -> RateLimit:
+    rate = round(chooser.uniform(MIN_RATE_LIMIT_PER_S, MAX_RATE_LIMIT_PER_S), 2)
     replicas = chooser.choice((layout.engine_replicas, layout.plain_replicas))
-    return Limit(tuple(replicas), rate, LIMIT_LASTS)
+    return RateLimit(tuple(replicas), rate, RATE_LIMIT_DURATION_S)
 
 
-def _draw_tire(chooser: random.Random, layout: Layout) -> Tire:
-    """All replicas of a sort, or some."""
-    of_sort = chooser.choice((layout.engine_replicas, layout.plain_replicas))
-    replicas = chooser.sample(of_sort, chooser.randint(1, len(of_sort)))
-    pause = round(chooser.uniform(SHORTEST_PAUSE, LONGEST_PAUSE), 2)
-    return Tire(tuple(replicas), pause, TIRED_LASTS)
+def _draw_rejection(chooser: random.Random, layout: Layout) -> Reject:
+    """Draw a rejection by some or all replicas of one service."""
+    service_replicas = chooser.choice((layout.engine_replicas, layout.plain_replicas))
+    replicas = chooser.sample(
+        service_replicas, chooser.randint(1, len(service_replicas))
+    )
+    backoff = round(chooser.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S), 2)
+    return Reject(tuple(replicas), backoff, REJECTION_DURATION_S)
 
 
-def _draw_farewell(chooser: random.Random, layout: Layout) -> Leave:
-    return Leave(chooser.randrange(layout.replicas), by_answers=True)
+def _draw_drain_notice(chooser: random.Random, layout: Layout) -> Drain:
+    return Drain(chooser.randrange(layout.replicas), by_responses=True)
 
 
 class _Drawer:
-    """Draws one fault after the other, within what the system must bear."""
+    """Draws faults within what the system must tolerate."""
 
     def __init__(self, chooser: random.Random, layout: Layout) -> None:
         self._chooser = chooser
@@ -274,7 +289,7 @@
         self._disk_lost_at = -math.inf
 
     def draw(self, at: float) -> Fault:
-        """Draw a fault that begins at ``at``."""
+        """Draw a fault that starts at ``at``."""
         chooser = self._chooser
         process = chooser.choice(self._layout.processes)
         match chooser.randrange(16):
@@ -295,9 +310,9 @@
         return Change(chooser.choice((1, 1, 2, 5)), chooser.random() < 0.5)
 
     def _draw_length(self) -> float:
-        if self._chooser.random() < LASTING_SHARE:
-            return self._chooser.uniform(LONGEST, LASTING)
-        return self._chooser.uniform(SHORTEST, LONGEST)
+        if self._chooser.random() < LONG_FAULT_SHARE:
+            return self._chooser.uniform(MAX_FAULT_S, MAX_LONG_FAULT_S)
+        return self._chooser.uniform(MIN_FAULT_S, MAX_FAULT_S)
 
     def _draw_kill(self, at: float) -> Kill:
         chooser = self._chooser
@@ -305,9 +320,9 @@
         down = self._draw_length()
         is_power = chooser.random() < 0.5
         match chooser.randrange(5):
-            case 0 if at - self._disk_lost_at > DISK_RECOVERY + LONGEST:
+            case 0 if at - self._disk_lost_at > DISK_RECOVERY_S + MAX_FAULT_S:
                 self._disk_lost_at = at
-                down = min(down, LONGEST)
+                down = min(down, MAX_FAULT_S)
                 return Kill((chooser.choice(layout.controls),), down, True, True)
             case 1:
                 return Kill(layout.controls, min(1.0, down), is_power)
@@ -333,17 +348,17 @@
         if chooser.random() < 0.4:
             process = chooser.choice(self._layout.processes)
             step = chooser.choice((-5.0, -2.0, 2.0, 5.0))
-            return Disorder(process, DiskMode.SOUND, step, lasts)
+            return Disorder(process, DiskMode.HEALTHY, step, lasts)
         mode = chooser.choice((DiskMode.STALLED, DiskMode.FULL))
         return Disorder(chooser.choice(self._layout.controls), mode, 0.0, lasts)
 
-    def _draw_replica_fault(self) -> Misbehave | Leave | Crash:
+    def _draw_replica_fault(self) -> Misbehave | Drain | Crash:
         chooser = self._chooser
         replica = chooser.randrange(self._layout.replicas)
         match chooser.randrange(4):
             case 0:
-                return Leave(replica)
+                return Drain(replica)
             case 1:
                 return Crash(replica, self._draw_length())
-        modes = [mode for mode in ReplicaMode if mode is not ReplicaMode.SOUND]
+        modes = [mode for mode in ReplicaMode if mode is not ReplicaMode.HEALTHY]
         return Misbehave(replica, chooser.choice(modes), self._draw_length())
--- a/src/scalebend/soak/injector.py
+++ b/src/scalebend/soak/injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a schedule, and notes whom they disturb and how long."""
+"""Injects the faults of a schedule and records which processes they disturb."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 import structlog
 
 from scalebend.soak import faults
-from scalebend.soak.deployment import Deployment, draw_tear
+from scalebend.soak.deployment import Deployment, build_kept_bytes_chooser
 from scalebend.soak.layout import ProcessName
-from scalebend.soak.misbehaving import Orders
+from scalebend.soak.misbehaving import ProcessFaults
 from scalebend.soak.observations import Disturbance, Observations
 from scalebend.soak.operator import Operator
 from scalebend.soak.replicas import Fleet, Replica
@@ -25,26 +25,26 @@
 
 
 class Injector:
-    """Faults of one run."""
+    """Injects the faults of one run."""
 
     def __init__(
         self,
         deployment: Deployment,
         fleet: Fleet,
         operator: Operator,
-        seen: Observations,
+        observations: Observations,
         seed: int,
     ) -> None:
         self._deployment = deployment
         self._fleet = fleet
         self._operator = operator
-        self._seen = seen
+        self._observations = observations
         self._chooser = random.Random(f"{seed}/injector")
 
     async def follow(
         self, schedule: faults.Schedule, session: aiohttp.ClientSession
     ) -> None:
-        """Carry out all faults at their times, and wait until all are over."""
+        """Inject all faults at their times; return when the load ends."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.TaskGroup() as group:
@@ -55,14 +55,14 @@
         await asyncio.sleep(max(0.0, began + schedule.ends - loop.time()))
 
     async def inject(self, fault: faults.Fault, session: aiohttp.ClientSession) -> None:
-        """Carry out one fault, until it is over."""
+        """Inject one fault and wait until it is over."""
         match fault:
             case faults.Kill():
                 await self._kill(fault)
             case faults.Stop(process):
                 await self._stop(process)
             case faults.Pause(process, lasts):
-                await self._pause(process, lasts)
+                await self._suspend(process, lasts)
             case faults.Impair():
                 await self._impair(fault)
             case faults.Reset(target):
@@ -71,28 +71,30 @@
                         proxy.reset_all()
             case faults.Disorder(process, disk, clock_step, lasts):
                 with self._disturb(process):
-                    self._deployment.order(process, Orders(clock_step, disk))
+                    self._deployment.set_process_faults(
+                        process, ProcessFaults(clock_step, disk)
+                    )
                     await asyncio.sleep(lasts)
-                    self._deployment.order(process, Orders())
+                    self._deployment.set_process_faults(process, ProcessFaults())
             case faults.Change(count, revokes):
                 for _ in range(count):
                     await self._operator.change(session, revokes=revokes)
-            case faults.Limit(replicas, rate, lasts):
-                await self._limit(replicas, rate, lasts)
-            case faults.Tire(replicas, pause, lasts):
-                await self._tire(replicas, pause, lasts)
-            case faults.Misbehave() | faults.Leave() | faults.Crash():
-                await self._treat_replica(fault, session)
+            case faults.RateLimit(replicas, rate, lasts):
+                await self._limit_rate(replicas, rate, lasts)
+            case faults.Reject(replicas, backoff, lasts):
+                await self._reject(replicas, backoff, lasts)
+            case faults.Misbehave() | faults.Drain() | faults.Crash():
+                await self._inject_replica_fault(fault, session)
 
     @contextlib.contextmanager
     def _disturb(self, *processes: ProcessName) -> Iterator[None]:
         now = asyncio.get_running_loop().time
-        noted = [Disturbance(process, now(), float("inf")) for process in processes]
-        self._seen.disturbances += noted
+        started = [Disturbance(process, now(), float("inf")) for process in processes]
+        self._observations.disturbances += started
         try:
             yield
         finally:
-            for disturbance in noted:
+            for disturbance in started:
                 disturbance.until = now()
 
     @contextlib.contextmanager
@@ -103,9 +105,17 @@
 
     async def _kill(self, fault: faults.Kill) -> None:
         with self._disturb(*fault.processes):
-            tear = draw_tear(self._chooser) if fault.has_power_loss else None
+            choose_kept_bytes = (
+                build_kept_bytes_chooser(self._chooser)
+                if fault.has_power_loss
+                else None
+            )
             for process in fault.processes:
-                self._deployment.kill(process, loses_disk=fault.loses_disk, tear=tear)
+                self._deployment.kill(
+                    process,
+                    loses_disk=fault.loses_disk,
+                    choose_kept_bytes=choose_kept_bytes,
+                )
             await asyncio.sleep(fault.down)
             for process in fault.processes:
                 self._deployment.start(process)
@@ -113,15 +123,15 @@
     async def _stop(self, process: ProcessName) -> None:
         now = asyncio.get_running_loop().time
         stop = Disturbance(process, now(), float("inf"))
-        self._seen.stops.append(stop)
+        self._observations.stops.append(stop)
         if not await self._deployment.stop(process):
-            self._seen.overdue.append(stop)
+            self._observations.overdue_stops.append(stop)
         stop.until = now()
         with self._disturb(process):
             self._deployment.start(process)
             await asyncio.sleep(1.0)
 
-    async def _pause(self, process: ProcessName, lasts: float) -> None:
+    async def _suspend(self, process: ProcessName, lasts: float) -> None:
         with self._disturb(process):
             paused = self._deployment.signal(process, signal.SIGSTOP)
             await asyncio.sleep(lasts)
@@ -133,9 +143,9 @@
         proxies = self._list_proxies(target)
         name = None
         if dialler is not None:
-            # Calls from outside do not say who dialled.
-            proxies = [self._deployment.links[target]]
-            name = self._deployment.get_link(dialler)
+            # Only links identify their dialler; HTTP calls do not.
+            proxies = [self._deployment.link_proxies[target]]
+            name = self._deployment.get_link_address(dialler)
         rule = Rule(name, fault.holds, fault.delay)
         disturbed = (target,) if dialler is None else (target, dialler)
         with contextlib.ExitStack() as stack:
@@ -144,34 +154,36 @@
                 stack.enter_context(proxy.apply(rule))
             await asyncio.sleep(fault.lasts)
 
-    async def _limit(
+    async def _limit_rate(
         self, replicas: tuple[int, ...], rate: float, lasts: float
     ) -> None:
-        # Most of what is sent to their service is refused meanwhile.
+        # Counts as a disturbance: most requests to the service are rejected meanwhile.
         with self._disturb_replicas(*replicas) as limited:
-            await asyncio.gather(*(r.limit_requests(rate, lasts) for r in limited))
+            await asyncio.gather(*(r.limit_rate(rate, lasts) for r in limited))
 
-    async def _tire(
-        self, replicas: tuple[int, ...], pause: float, lasts: float
+    async def _reject(
+        self, replicas: tuple[int, ...], backoff: float, lasts: float
     ) -> None:
-        with self._disturb_replicas(*replicas) as tired:
-            await asyncio.gather(*(r.turn_away(pause, lasts) for r in tired))
-            # Fronts that were asked last still leave them alone.
-            await asyncio.sleep(pause)
-
-    async def _treat_replica(
+        with self._disturb_replicas(*replicas) as rejecting:
+            await asyncio.gather(
+                *(r.reject_requests(backoff, lasts) for r in rejecting)
+            )
+            # Fronts keep the last backoff for its whole duration.
+            await asyncio.sleep(backoff)
+
+    async def _inject_replica_fault(
         self,
-        fault: faults.Misbehave | faults.Leave | faults.Crash,
+        fault: faults.Misbehave | faults.Drain | faults.Crash,
         session: aiohttp.ClientSession,
     ) -> None:
         replica = self._fleet.replicas[fault.replica]
-        # Leaving is planned work, and disturbs nobody.
-        if isinstance(fault, faults.Leave):
-            if fault.by_answers:
+        # Draining is planned work and must disturb no request.
+        if isinstance(fault, faults.Drain):
+            if fault.by_responses:
                 with self._disturb_replicas(fault.replica):
-                    await replica.leave_by_answers()
+                    await replica.drain_by_responses()
             else:
-                await replica.leave(session)
+                await replica.drain(session)
             return
         with self._disturb_replicas(fault.replica):
             if isinstance(fault, faults.Crash):
@@ -179,15 +191,15 @@
                 return
             replica.mode = fault.mode
             await asyncio.sleep(fault.lasts)
-            replica.mode = faults.ReplicaMode.SOUND
+            replica.mode = faults.ReplicaMode.HEALTHY
 
     def _list_proxies(self, process: ProcessName) -> list[Proxy]:
-        proxies = [self._deployment.calls[process]]
-        if process in self._deployment.links:
-            proxies.append(self._deployment.links[process])
+        proxies = [self._deployment.call_proxies[process]]
+        if process in self._deployment.link_proxies:
+            proxies.append(self._deployment.link_proxies[process])
         return proxies
 
 
 def describe(fault: faults.Fault) -> str:
-    """A fault as one line of text."""
+    """Return a fault as one line of JSON."""
     return msgspec.json.encode(fault).decode()
--- a/src/scalebend/soak/layout.py
+++ b/src/scalebend/soak/layout.py
@@ -1,4 +1,4 @@
-"""How many processes and stand-ins a soak run has, and what they are called."""
+"""Numbers and names of the processes and stand-in replicas of a soak run."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import msgspec
 
 ProcessName = NewType("ProcessName", str)
-"""Name of one process of the system, the same over its restarts."""
+"""Name of one gateway process; it stays the same over restarts."""
 
 
 class Layout(msgspec.Struct, frozen=True):
-    """Processes of the system, and the number of stand-in replicas."""
+    """Gateway processes by role, and the number of stand-in replicas."""
 
     controls: tuple[ProcessName, ...]
     fronts: tuple[ProcessName, ...]
@@ -19,27 +19,27 @@
 
     @property
     def processes(self) -> tuple[ProcessName, ...]:
-        """All processes of the system."""
+        """All gateway processes, control instances first."""
         return self.controls + self.fronts
 
     @property
     def plain_replicas(self) -> list[int]:
-        """Numbers of the replicas of the plain service: a third; others are engines."""
+        """Numbers of the replicas of the plain service: every third one."""
         return [number for number in range(self.replicas) if number % 3 == 2]
 
     @property
     def engine_replicas(self) -> list[int]:
-        """Numbers of the engines."""
+        """Numbers of the engines: all replicas but the plain ones."""
         return sorted(set(range(self.replicas)) - set(self.plain_replicas))
 
     @property
     def tolerated_losses(self) -> int:
-        """Control instances that may be lost at once."""
+        """Number of control instances that may be lost at the same time."""
         return (len(self.controls) - 1) // 2
 
 
 def build_layout(controls: int, fronts: int, replicas: int) -> Layout:
-    """Name the processes of a run."""
+    """Build the layout of a run with the given numbers of processes and replicas."""
     return Layout(
         tuple(ProcessName(f"control-{number}") for number in range(controls)),
         tuple(ProcessName(f"front-{number}") for number in range(fronts)),
--- a/src/scalebend/soak/misbehaving.py
+++ b/src/scalebend/soak/misbehaving.py
@@ -1,7 +1,8 @@
-"""Runs ``scalebend gateway`` with a clock and a disk that can be made to misbehave.
+"""Runs ``scalebend gateway`` with faults injected into its clock and disk.
 
-Arguments: a folder for orders to the disk and the clock, then those of the command
-line. Run as ``python -m scalebend.soak.misbehaving``; the product has no part in it.
+Run as ``python -m scalebend.soak.misbehaving FOLDER ARGUMENTS``: the process reads its
+faults from a file in the folder; the other arguments are those of the command line.
+Only the soak uses this module.
 """
 
 from __future__ import annotations
@@ -16,75 +17,75 @@
 
 from scalebend.soak.faults import DiskMode
 
-POLL = 0.02
-"""Seconds between two looks at whether a stalled disk works again."""
+POLL_INTERVAL_S = 0.02
+"""Seconds between two checks whether a stalled disk works again."""
 
-ORDERS = "orders"
-SYNCED = "synced"
+FAULTS_FILE = "orders"
+SYNCED_FILE = "synced"
 
 
-class Orders(msgspec.Struct, frozen=True):
-    """How clock and disk behave from now on."""
+class ProcessFaults(msgspec.Struct, frozen=True):
+    """How the clock and the disk of a process behave."""
 
     clock_step: float = 0.0
-    """Seconds that the time of day is ahead."""
+    """Seconds by which the time of day is ahead."""
 
-    disk: DiskMode = DiskMode.SOUND
+    disk: DiskMode = DiskMode.HEALTHY
 
 
-def write_orders(folder: Path, orders: Orders) -> None:
-    """Let the process that watches ``folder`` follow ``orders``."""
+def write_process_faults(folder: Path, process_faults: ProcessFaults) -> None:
+    """Replace the faults of the process that reads ``folder``, atomically."""
     temporary = folder / "orders.new"
-    temporary.write_bytes(msgspec.json.encode(orders))
-    temporary.replace(folder / ORDERS)
+    temporary.write_bytes(msgspec.json.encode(process_faults))
+    temporary.replace(folder / FAULTS_FILE)
 
 
 def read_synced(folder: Path) -> dict[str, int]:
-    """Sizes up to which files were synced, by path."""
-    path = folder / SYNCED
+    """Return the synced size of each file in bytes, by path."""
+    path = folder / SYNCED_FILE
     return msgspec.json.decode(path.read_bytes()) if path.exists() else {}
 
 
 class _Misbehaviour:
-    """Takes the place of the system's clock and sync calls."""
+    """Replaces the clock and the sync calls of the process."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._time = time.time
         self._fdatasync = os.fdatasync
-        # What an earlier process synced lasts.
+        # Data that an earlier process synced stays durable.
         self._synced = read_synced(folder)
 
     def install(self) -> None:
-        """Replace the calls in this process."""
-        time.time = lambda: self._time() + self._read().clock_step
+        """Patch the calls in this process."""
+        time.time = lambda: self._time() + self._read_faults().clock_step
         time.time_ns = lambda: int(time.time() * 1e9)
         os.fdatasync = self._sync  # type: ignore[assignment]
         os.fsync = self._sync  # type: ignore[assignment]
 
-    def _read(self) -> Orders:
+    def _read_faults(self) -> ProcessFaults:
         try:
-            data = (self._folder / ORDERS).read_bytes()
+            data = (self._folder / FAULTS_FILE).read_bytes()
         except FileNotFoundError:
-            return Orders()
-        return msgspec.json.decode(data, type=Orders)
+            return ProcessFaults()
+        return msgspec.json.decode(data, type=ProcessFaults)
 
     def _sync(self, descriptor: int) -> None:
-        while self._read().disk is DiskMode.STALLED:
-            time.sleep(POLL)
-        if self._read().disk is DiskMode.FULL:
-            raise OSError(errno.ENOSPC, "no space left (ordered by the soak)")
+        while self._read_faults().disk is DiskMode.STALLED:
+            time.sleep(POLL_INTERVAL_S)
+        if self._read_faults().disk is DiskMode.FULL:
+            raise OSError(errno.ENOSPC, "no space left (injected by the soak)")
         self._fdatasync(descriptor)
         path = os.readlink(f"/proc/self/fd/{descriptor}")
         if os.path.isfile(path):
             self._synced[path] = os.fstat(descriptor).st_size
             temporary = self._folder / "synced.new"
             temporary.write_bytes(msgspec.json.encode(self._synced))
-            temporary.replace(self._folder / SYNCED)
+            temporary.replace(self._folder / SYNCED_FILE)
 
 
 def main() -> None:
-    """Install the misbehaviour, then run the command line."""
+    """Install the replaced calls, then run the command line."""
     _Misbehaviour(Path(sys.argv.pop(1))).install()
     from scalebend.cli.main import main as run_command_line
 
--- a/src/scalebend/soak/observations.py
+++ b/src/scalebend/soak/observations.py
@@ -1,4 +1,7 @@
-"""What callers, replicas and operators saw during a run; all times in seconds."""
+"""What callers, replicas and the operator observed during a run.
+
+All times are in seconds, on the clock of the event loop.
+"""
 
 from __future__ import annotations
 
@@ -10,76 +13,76 @@
 from scalebend.soak.layout import ProcessName
 
 
-class Kind(Enum):
-    """Kinds of request that callers send."""
+class RequestKind(Enum):
+    """Kind of a request, which decides its route."""
 
-    REPEATABLE = "repeatable"
-    ONCE = "once"
+    IDEMPOTENT = "repeatable"
+    NON_IDEMPOTENT = "once"
     QUICK_STREAM = "quick-stream"
     LONG_STREAM = "long-stream"
 
 
-class Asked(msgspec.Struct):
-    """One request of a caller, and how it ended."""
+class CallerRequest(msgspec.Struct):
+    """One request of a caller, and its outcome."""
 
-    request: str
-    kind: Kind
+    request_id: str
+    kind: RequestKind
     front: ProcessName
-    start: int
-    """How often the front had been started when the request was sent."""
+    front_start: int
+    """Number of times the front had been started when the request was sent."""
 
     version: RoutingVersion
-    """Version whose key it showed."""
+    """Version that added the key of the request; 0 for the lasting key."""
 
     sent_at: float
-    wait: float
+    timeout_s: float
     events: int
-    """Events that a whole stream has."""
+    """Number of events in the complete stream; 0 for a plain response."""
 
     ended_at: float | None = None
     status: int | None = None
-    """Status of a whole answer; ``None`` when there was none."""
+    """Status of a complete response, or ``None`` without one."""
 
-    fault: str = ""
-    """What was wrong with an answer that was taken for whole."""
+    mismatch: str = ""
+    """How a successful response differs from the expected one; empty if it does not."""
 
     detail: str = ""
-    """Why there was no whole answer."""
+    """Error that kept the caller from a complete response."""
 
     is_cancelled: bool = False
-    """Whether its caller meant to leave early."""
+    """Whether its caller disconnected on purpose."""
 
     has_timed_out: bool = False
-    """Whether its caller listened in vain for well over the time it said."""
+    """Whether no complete response came until well after the timeout."""
 
     seal: str | None = None
 
 
-class Ran(msgspec.Struct, frozen=True):
-    """A replica ran a request."""
+class Execution(msgspec.Struct, frozen=True):
+    """A replica executed a request."""
 
-    request: str
+    request_id: str
     upstream: UpstreamId
     at: float
     version: RoutingVersion
-    """Version of the routing document that the front obeyed, as the customer's name
-    tells."""
+    """Version of the routing document that the front used, read from the customer's
+    name."""
 
     is_altered: bool
-    """Whether method, path or body were not the caller's."""
+    """Whether the method or the body differ from what the caller sent."""
 
 
-class Arrived(msgspec.Struct, frozen=True):
-    """A request reached a replica, whether it ran there or not."""
+class Arrival(msgspec.Struct, frozen=True):
+    """A request reached a replica, whether or not it was executed."""
 
-    request: str
+    request_id: str
     service: ServiceName
     at: float
     upstream: UpstreamId
 
 
-class Limited(msgspec.Struct):
-    """A replica named a limit on requests a second, while it lasted."""
+class RateLimitPeriod(msgspec.Struct):
+    """A period in which a replica announced a rate limit, in requests per second."""
 
     upstream: UpstreamId
     rate: float
@@ -87,70 +90,70 @@
     until: float
 
 
-class TurnedAway(msgspec.Struct, frozen=True):
-    """A replica did not run a request, and asked its front for a pause."""
+class Rejection(msgspec.Struct, frozen=True):
+    """A replica rejected a request and asked its front for a backoff in seconds."""
 
-    request: str
+    request_id: str
     upstream: UpstreamId
     at: float
-    pause: float
+    backoff: float
 
 
-class Farewell(msgspec.Struct, frozen=True):
-    """A replica said in its answer to a request that it leaves."""
+class DrainNotice(msgspec.Struct, frozen=True):
+    """A replica announced in its response to a request that it drains."""
 
-    request: str
+    request_id: str
     upstream: UpstreamId
     at: float
 
 
-class Answered(msgspec.Struct, frozen=True):
-    """A replica sent a whole answer."""
+class SentResponse(msgspec.Struct, frozen=True):
+    """A replica sent a complete response."""
 
-    request: str
+    request_id: str
     status: int
 
 
-class Departed(msgspec.Struct, frozen=True):
-    """A control instance acknowledged that a replica leaves."""
+class DrainAcknowledgement(msgspec.Struct, frozen=True):
+    """A control instance acknowledged that a replica drains."""
 
     upstream: UpstreamId
     control: ProcessName
     at: float
 
 
-class Accepted(msgspec.Struct, frozen=True):
-    """A routing document was acknowledged."""
+class AcceptedDocument(msgspec.Struct, frozen=True):
+    """A control instance acknowledged a routing document."""
 
     version: RoutingVersion
     at: float
     revoked: tuple[RoutingVersion, ...]
-    """Versions whose keys it no longer holds."""
+    """Versions whose keys it removed."""
 
 
-class Read(msgspec.Struct, frozen=True):
-    """A routing document was read back."""
+class ReadBack(msgspec.Struct, frozen=True):
+    """A routing document was read from a control instance."""
 
     version: RoutingVersion
     asked_at: float
     is_as_sent: bool
 
 
-class Ticket(msgspec.Struct):
-    """Memory that a replica set aside."""
+class Reservation(msgspec.Struct):
+    """KV cache memory that a replica reserved."""
 
     upstream: UpstreamId
-    ticket: str
+    name: str
     since: float
     until: float
-    """When it was given back, or lapsed."""
+    """When it was released or expired."""
 
     used_until: float
-    """When the last request that used it ended; ``since`` when none did."""
+    """When the last request that used it ended; ``since`` if none did."""
 
 
 class Disturbance(msgspec.Struct):
-    """A fault at a process, while it lasts."""
+    """The time in which a fault affects a process."""
 
     process: ProcessName
     since: float
@@ -158,7 +161,7 @@
 
 
 class Exit(msgspec.Struct, frozen=True):
-    """A process ended although nobody had asked it to, or with a failure."""
+    """A process ended unexpectedly, or failed when it was terminated."""
 
     process: ProcessName
     at: float
@@ -166,28 +169,30 @@
 
 
 class Observations(msgspec.Struct):
-    """All of a run."""
-
-    asked: dict[str, Asked] = msgspec.field(default_factory=dict)
-    ran: list[Ran] = msgspec.field(default_factory=list)
-    arrived: list[Arrived] = msgspec.field(default_factory=list)
-    limited: list[Limited] = msgspec.field(default_factory=list)
-    turned_away: list[TurnedAway] = msgspec.field(default_factory=list)
-    farewells: list[Farewell] = msgspec.field(default_factory=list)
-    answered: list[Answered] = msgspec.field(default_factory=list)
-    departed: list[Departed] = msgspec.field(default_factory=list)
-    accepted: list[Accepted] = msgspec.field(default_factory=list)
-    reads: list[Read] = msgspec.field(default_factory=list)
-    tickets: list[Ticket] = msgspec.field(default_factory=list)
+    """All observations of one run."""
+
+    caller_requests: dict[str, CallerRequest] = msgspec.field(default_factory=dict)
+    executions: list[Execution] = msgspec.field(default_factory=list)
+    arrivals: list[Arrival] = msgspec.field(default_factory=list)
+    rate_limit_periods: list[RateLimitPeriod] = msgspec.field(default_factory=list)
+    rejections: list[Rejection] = msgspec.field(default_factory=list)
+    drain_notices: list[DrainNotice] = msgspec.field(default_factory=list)
+    sent_responses: list[SentResponse] = msgspec.field(default_factory=list)
+    drain_acknowledgements: list[DrainAcknowledgement] = msgspec.field(
+        default_factory=list
+    )
+    accepted: list[AcceptedDocument] = msgspec.field(default_factory=list)
+    reads: list[ReadBack] = msgspec.field(default_factory=list)
+    reservations: list[Reservation] = msgspec.field(default_factory=list)
     disturbances: list[Disturbance] = msgspec.field(default_factory=list)
     exits: list[Exit] = msgspec.field(default_factory=list)
     stops: list[Disturbance] = msgspec.field(default_factory=list)
-    """Planned stops: from the signal to the end of the process."""
+    """Planned stops, from the signal to the end of the process."""
 
-    overdue: list[Disturbance] = msgspec.field(default_factory=list)
-    """Planned stops that did not end within the grace time."""
+    overdue_stops: list[Disturbance] = msgspec.field(default_factory=list)
+    """Planned stops that exceeded the grace period."""
 
     load_ended_at: float = 0.0
-    """When all faults were over, for the promise that service comes back."""
+    """When all faults were over."""
 
     ended_at: float = 0.0
--- a/src/scalebend/soak/operator.py
+++ b/src/scalebend/soak/operator.py
@@ -1,4 +1,4 @@
-"""An operator that sends routing documents until they are acknowledged."""
+"""Simulated operator that sends routing documents until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -12,97 +12,103 @@
 from scalebend.models.ids import RoutingVersion
 from scalebend.platform.registrations import CONFIGURATION_PATH
 from scalebend.platform.routing import decode_routing, encode_routing
-from scalebend.soak.documents import MOST_EXTRA_KEYS, build_routing
+from scalebend.soak.documents import MAX_EXTRA_KEYS, build_routing
 from scalebend.soak.layout import ProcessName
-from scalebend.soak.observations import Accepted, Observations, Read
+from scalebend.soak.observations import AcceptedDocument, Observations, ReadBack
 
 logger = structlog.get_logger(__name__)
 
-CALL_TIMEOUT = 1.0
-"""Seconds for one call, as on the platform."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of one call in seconds, as on the platform."""
 
-AGAIN_AFTER = 0.1
-"""Seconds until the same is sent to another control instance."""
+RETRY_INTERVAL_S = 0.1
+"""Seconds until an unacknowledged document is sent again, to any control instance."""
 
-PATIENCE = 40.0
-"""Seconds after which a change that nobody acknowledges breaks a promise: longer than
-any fault lasts, together with a restart of all."""
+CHANGE_TIMEOUT_S = 40.0
+"""Seconds after which an unacknowledged change is a violation: longer than any fault
+together with a restart of all processes."""
 
-READ_PERIOD = 0.7
-"""Seconds between two documents that are read back."""
+READ_INTERVAL_S = 0.7
+"""Seconds between two reads of the document."""
 
 
 class Operator:
-    """Sends documents and reads them back."""
+    """Sends routing documents and reads them back."""
 
     def __init__(
-        self, controls: dict[ProcessName, str], seen: Observations, seed: int
+        self, controls: dict[ProcessName, str], observations: Observations, seed: int
     ) -> None:
         self._controls = controls
-        self._seen = seen
+        self._observations = observations
         self._chooser = random.Random(f"{seed}/operator")
         self._sent: dict[RoutingVersion, bytes] = {}
         self._newest = RoutingVersion(0)
         self._keys: list[RoutingVersion] = []
-        self.refused: list[str] = []
+        self.failed_changes: list[str] = []
 
     async def change(
         self, session: aiohttp.ClientSession, *, revokes: bool = False
     ) -> None:
-        """Send a newer document, again and again until it is acknowledged."""
+        """Send a newer document until it is acknowledged or replaced by a newer one.
+
+        With ``revokes``, the document drops one of the existing keys. A document that
+        is rejected or not acknowledged in time is added to ``failed_changes``.
+        """
         version = RoutingVersion(self._newest + self._chooser.randint(1, 3))
         self._newest = version
-        dropped = self._keys[:-MOST_EXTRA_KEYS]
+        dropped = self._keys[:-MAX_EXTRA_KEYS]
         if revokes and self._keys:
             dropped.append(self._chooser.choice(self._keys))
         self._keys = [key for key in self._keys if key not in dropped] + [version]
         body = encode_routing(build_routing(version, tuple(self._keys)))
         self._sent[version] = body
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + PATIENCE
+        deadline = loop.time() + CHANGE_TIMEOUT_S
         while version == self._newest:
             if loop.time() > deadline:
-                self.refused.append(f"version {version}: no answer for {PATIENCE} s")
+                self.failed_changes.append(
+                    f"version {version}: not acknowledged within {CHANGE_TIMEOUT_S} s"
+                )
                 return
             status = await self._put(session, body)
             if status == 200:
                 now = asyncio.get_running_loop().time()
-                accepted = Accepted(version, now, tuple(dropped))
-                self._seen.accepted.append(accepted)
+                accepted = AcceptedDocument(version, now, tuple(dropped))
+                self._observations.accepted.append(accepted)
                 logger.info("change acknowledged", version=version)
                 return
             if status is not None and 400 <= status < 500:
-                self.refused.append(f"version {version}: status {status}")
+                self.failed_changes.append(f"version {version}: status {status}")
                 return
-            await asyncio.sleep(AGAIN_AFTER)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _put(self, session: aiohttp.ClientSession, body: bytes) -> int | None:
         control = self._chooser.choice(list(self._controls.values()))
         url = f"http://{control}{CONFIGURATION_PATH}"
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with session.put(url, data=body, max_redirects=3) as answer:
-                return answer.status
+            async with session.put(url, data=body, max_redirects=3) as response:
+                return response.status
         return None
 
-    async def read(self, session: aiohttp.ClientSession) -> Read | None:
-        """Read the document back from any control instance."""
+    async def read(self, session: aiohttp.ClientSession) -> ReadBack | None:
+        """Read the document from a random control instance, or return ``None``."""
         asked_at = asyncio.get_running_loop().time()
         control = self._chooser.choice(list(self._controls.values()))
         url = f"http://{control}{CONFIGURATION_PATH}"
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with session.get(url, max_redirects=3) as answer:
-                if answer.status != 200:
+            async with session.get(url, max_redirects=3) as response:
+                if response.status != 200:
                     return None
-                body = await answer.read()
+                body = await response.read()
                 version = decode_routing(body).version
                 is_as_sent = self._sent.get(version) == body
-                read = Read(version, asked_at, is_as_sent)
-                self._seen.reads.append(read)
+                read = ReadBack(version, asked_at, is_as_sent)
+                self._observations.reads.append(read)
                 return read
         return None
 
-    async def read_for_ever(self, session: aiohttp.ClientSession) -> None:
-        """Read documents back until cancelled."""
+    async def read_forever(self, session: aiohttp.ClientSession) -> None:
+        """Read the document periodically until cancelled."""
         while True:
             await self.read(session)
-            await asyncio.sleep(READ_PERIOD)
+            await asyncio.sleep(READ_INTERVAL_S)
--- a/src/scalebend/soak/promises.py
+++ b/src/scalebend/soak/promises.py
@@ -1,7 +1,7 @@
-"""Checks the promises of the system against what was seen from outside it.
+"""Checks the promises of the system against observations from outside it.
 
-Some promises hold always; others only in calm, that is for some time after the last
-fault. Which is which follows the platform's rules, with margins for a busy machine.
+Some promises always hold; others hold only in calm periods, which begin some time after
+the last fault. The bounds are the platform's, with margins for a busy host.
 """
 
 from __future__ import annotations
@@ -17,114 +17,116 @@
 from scalebend.soak.deployment import BOUNDS
 from scalebend.soak.layout import ProcessName
 from scalebend.soak.observations import (
-    Asked,
-    Departed,
-    Kind,
-    Limited,
+    CallerRequest,
+    DrainAcknowledgement,
+    Execution,
     Observations,
-    Ran,
+    RateLimitPeriod,
+    RequestKind,
 )
 
-SETTLE = 4.0
-"""Seconds after the last fault from which the promises of calm hold."""
+SETTLE_S = 4.0
+"""Seconds after the last fault until a calm period begins."""
 
-CONFIGURATION = 2.0
-"""Seconds from the acknowledgement of a document until it is in force everywhere."""
+CONFIGURATION_DELAY_S = 2.0
+"""Seconds from the acknowledgement of a document until all processes use it."""
 
-NO_WAY_BACK = 2.0
-"""Seconds after which a process that obeyed a version obeys no older one; eight times
-what the platform allows calm ones, since disturbed ones are judged alike."""
+STALE_CONFIGURATION_S = 2.0
+"""Seconds after which a process that used a version uses no older one. Longer than the
+platform allows, since it also applies to disturbed processes."""
 
-DRAIN = 2.0
-"""Seconds from the acknowledgement that a replica leaves until it gets nothing new."""
+DRAIN_DELAY_S = 2.0
+"""Seconds from the acknowledgement of a drain until the replica gets no new request."""
 
-LATE = 1.0
-"""Seconds beyond its wait by which a request must have ended."""
+RESPONSE_DELAY_S = 1.0
+"""Seconds beyond its timeout within which a request must have ended."""
 
-MEMORY_FREE = 4.0
-"""Seconds after its last use for which memory may stay set aside."""
+RESERVATION_RELEASE_S = 4.0
+"""Seconds after its last use within which a reservation must be released."""
 
-MEMORY_IDLE = 9.0
-"""Seconds for which memory may be set aside without any use."""
+IDLE_RESERVATION_S = 9.0
+"""Seconds within which an unused reservation must be released."""
 
-MARGIN = 0.5
-"""Seconds added to bounds that are measured by this process' own clock."""
+CLOCK_MARGIN_S = 0.5
+"""Seconds of tolerance for times that this process measures."""
 
-STOP_READS = 2.5
-"""Seconds after the signal in which a stopping front still finishes what it takes."""
+STOP_ACCEPT_S = 2.5
+"""Seconds after the signal in which a stopping front still completes new requests."""
 
-REFUSED_IN_CALM = 0.05
-"""Part of the requests sent in calm that may be refused."""
+MAX_REJECTED_SHARE = 0.05
+"""Share of the requests in calm periods that may be rejected."""
 
-LIMIT_WINDOW = 4.0
-LIMIT_EXCESS = 1.5
-LIMIT_SLACK = 5.0
-"""Seconds of a window, and how far beyond its limit a replica tolerates requests."""
+RATE_WINDOW_S = 4.0
+RATE_EXCESS_FACTOR = 1.5
+RATE_SLACK_REQUESTS = 5.0
+"""Seconds of the window for rate limits, and the excess that is tolerated in it: a
+factor of the limit, and a number of requests on top."""
 
-LIMIT_LEARNING = 1.0
-"""Seconds after the first request that a front sent to a limited replica in which the
-front may not know: until its answer, and half a second as the platform allows."""
+RATE_LIMIT_DELAY_S = 1.0
+"""Seconds from the first request of a front to a rate-limited replica until the front
+must respect the limit: time for the response and the half second that the platform
+allows."""
 
-UNDER_WAY = 0.5
-PAUSE_SLACK = 2
-"""Seconds after a refusal in which requests may come that were under way, and how many
-of one front a replica tolerates in the rest of the pause that it asked for."""
+IN_FLIGHT_S = 0.5
+BACKOFF_SLACK_REQUESTS = 2
+"""Seconds after a rejection in which requests in flight may still arrive, and the
+number of requests from one front that is tolerated in the rest of the backoff."""
 
-PROMISED_NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses which promise that a request has not run and never will."""
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A promise that was broken, and by what."""
+    """A broken promise, and the observation that shows it."""
 
     promise: str
     detail: str
 
 
 class Evidence:
-    """Observations, with what the checks look up in them."""
-
-    def __init__(self, seen: Observations) -> None:
-        self.seen = seen
-        self.runs: dict[str, list[Ran]] = defaultdict(list)
-        for run in seen.ran:
-            self.runs[run.request].append(run)
-        self._accepted = sorted(seen.accepted, key=lambda accepted: accepted.at)
+    """Observations with indexes for the checks."""
+
+    def __init__(self, observations: Observations) -> None:
+        self.observations = observations
+        self.runs: dict[str, list[Execution]] = defaultdict(list)
+        for run in observations.executions:
+            self.runs[run.request_id].append(run)
+        self._accepted = sorted(observations.accepted, key=lambda accepted: accepted.at)
         self._newest: list[RoutingVersion] = []
         for accepted in self._accepted:
             newest = max([accepted.version, *self._newest[-1:]])
             self._newest.append(newest)
 
     def find_version(self, at: float) -> RoutingVersion:
-        """The newest version that was acknowledged before ``at``."""
+        """Return the newest version that was acknowledged before ``at``, or 0."""
         place = bisect_left(self._accepted, at, key=lambda accepted: accepted.at)
         return self._newest[place - 1] if place else RoutingVersion(0)
 
     def is_calm(
-        self, since: float, until: float, but: ProcessName | None = None
+        self, since: float, until: float, excluding: ProcessName | None = None
     ) -> bool:
-        """Whether nothing was disturbed from well before ``since`` to ``until``.
+        """Whether no fault was active from ``SETTLE_S`` before ``since`` to ``until``.
 
-        Planned stops count, but for one of ``but``.
+        Planned stops count as faults, except those of the process ``excluding``.
         """
-        seen = self.seen
+        observations = self.observations
         return not any(
-            one.since <= until and one.until >= since - SETTLE
-            for one in [*seen.disturbances, *seen.stops]
-            if one.process != but or one in seen.disturbances
+            one.since <= until and one.until >= since - SETTLE_S
+            for one in [*observations.disturbances, *observations.stops]
+            if one.process != excluding or one in observations.disturbances
         )
 
     def is_disturbed(self, process: ProcessName, since: float, until: float) -> bool:
-        """Whether a fault struck a process itself in that time."""
+        """Whether a fault affected the process itself in that time."""
         return any(
             one.process == process and one.since <= until and one.until >= since
-            for one in self.seen.disturbances
+            for one in self.observations.disturbances
         )
 
 
-def check_promises(seen: Observations) -> list[Violation]:
+def check_promises(observations: Observations) -> list[Violation]:
     """Return every violation of every promise."""
-    evidence = Evidence(seen)
+    evidence = Evidence(observations)
     return [
         Violation(check.__name__.removeprefix("_check_"), detail)
         for check in CHECKS
@@ -132,10 +134,10 @@
     ]
 
 
-def _describe(asked: Asked) -> str:
+def _describe(call: CallerRequest) -> str:
     return (
-        f"{asked.request} ({asked.kind.value}) at {asked.front}, "
-        f"sent at {asked.sent_at:.3f}: status {asked.status} {asked.detail}"
+        f"{call.request_id} ({call.kind.value}) at {call.front}, "
+        f"sent at {call.sent_at:.3f}: status {call.status} {call.detail}"
     )
 
 
@@ -143,88 +145,88 @@
 
 
 def _check_whole_answers(evidence: Evidence) -> Iterator[str]:
-    """A success is the whole answer to its own request."""
-    for asked in evidence.seen.asked.values():
-        if asked.fault:
-            yield f"{_describe(asked)}: {asked.fault}"
+    """A successful response is complete and belongs to its request."""
+    for call in evidence.observations.caller_requests.values():
+        if call.mismatch:
+            yield f"{_describe(call)}: {call.mismatch}"
 
 
 def _check_own_status(evidence: Evidence) -> Iterator[str]:
-    """An answer with a replica's seal has the status that the replica gave."""
+    """A response with a replica's seal has the status that the replica sent."""
     given: dict[str, set[int]] = defaultdict(set)
-    for answered in evidence.seen.answered:
-        given[answered.request].add(answered.status)
-    for asked in evidence.seen.asked.values():
-        if asked.seal is None or asked.status is None or asked.status == 200:
+    for response in evidence.observations.sent_responses:
+        given[response.request_id].add(response.status)
+    for call in evidence.observations.caller_requests.values():
+        if call.seal is None or call.status is None or call.status == 200:
             continue
-        if asked.status not in given[asked.request]:
-            yield f"{_describe(asked)}: the replica answered {given[asked.request]}"
+        if call.status not in given[call.request_id]:
+            yield f"{_describe(call)}: the replica sent {given[call.request_id]}"
 
 
 def _check_unasked(evidence: Evidence) -> Iterator[str]:
-    """Replicas run only what callers sent, unchanged."""
-    for run in evidence.seen.ran:
-        if run.request not in evidence.seen.asked:
-            yield f"{run.request} ran at {run.upstream}, and nobody sent it"
+    """Replicas execute only what callers sent, unchanged."""
+    for run in evidence.observations.executions:
+        if run.request_id not in evidence.observations.caller_requests:
+            yield f"{run.request_id} ran at {run.upstream}, and nobody sent it"
         elif run.is_altered:
-            yield f"{run.request} ran at {run.upstream} with another body"
+            yield f"{run.request_id} ran at {run.upstream} with another body"
 
 
 def _check_at_most_once(evidence: Evidence) -> Iterator[str]:
-    """What must not be repeated runs once at most."""
-    for asked in evidence.seen.asked.values():
-        runs = evidence.runs[asked.request]
-        if asked.kind is Kind.ONCE and len(runs) > 1:
-            yield f"{_describe(asked)}: ran at {[run.upstream for run in runs]}"
+    """Non-idempotent calls run at most once."""
+    for call in evidence.observations.caller_requests.values():
+        runs = evidence.runs[call.request_id]
+        if call.kind is RequestKind.NON_IDEMPOTENT and len(runs) > 1:
+            yield f"{_describe(call)}: ran at {[run.upstream for run in runs]}"
 
 
 def _check_refused_did_not_run(evidence: Evidence) -> Iterator[str]:
-    """A refusal that says "not run" is true."""
-    for asked in evidence.seen.asked.values():
-        if asked.status in PROMISED_NOT_RUN and evidence.runs[asked.request]:
-            yield _describe(asked)
+    """Requests with a status that means "not run" never ran."""
+    for call in evidence.observations.caller_requests.values():
+        if call.status in NOT_RUN_STATUSES and evidence.runs[call.request_id]:
+            yield _describe(call)
 
 
 def _check_not_denied(evidence: Evidence) -> Iterator[str]:
-    """Requests with a lasting key on a lasting route are never denied."""
-    for asked in evidence.seen.asked.values():
-        if asked.version == 0 and asked.status in (400, 401, 403, 404):
-            yield _describe(asked)
+    """Requests with the lasting key, on routes of all versions, are never denied."""
+    for call in evidence.observations.caller_requests.values():
+        if call.version == 0 and call.status in (400, 401, 403, 404):
+            yield _describe(call)
 
 
 def _check_revoked(evidence: Evidence) -> Iterator[str]:
-    """A revoked key opens nothing once its time is over, at no process."""
+    """No process accepts a revoked key after the revocation time."""
     revoked_at: dict[RoutingVersion, float] = {}
-    for accepted in evidence.seen.accepted:
+    for accepted in evidence.observations.accepted:
         for version in accepted.revoked:
             revoked_at.setdefault(version, accepted.at)
-    for asked in evidence.seen.asked.values():
-        limit = revoked_at.get(asked.version, math.inf) + BOUNDS.key_revocation
-        if asked.sent_at > limit and evidence.runs[asked.request]:
-            yield f"{_describe(asked)}: its key was revoked {asked.sent_at - limit:.2f}"
+    for call in evidence.observations.caller_requests.values():
+        limit = revoked_at.get(call.version, math.inf) + BOUNDS.key_revocation
+        if call.sent_at > limit and evidence.runs[call.request_id]:
+            yield f"{_describe(call)}: {call.sent_at - limit:.2f} s after revocation"
 
 
 def _check_no_way_back(evidence: Evidence) -> Iterator[str]:
-    """A process that obeyed a version obeys no older one."""
-    seen_versions: dict[tuple[ProcessName, int], list[Ran]] = defaultdict(list)
-    for run in evidence.seen.ran:
-        asked = evidence.seen.asked.get(run.request)
-        if asked is None:
+    """A process that used a version uses no older one later."""
+    seen_versions: dict[tuple[ProcessName, int], list[Execution]] = defaultdict(list)
+    for run in evidence.observations.executions:
+        call = evidence.observations.caller_requests.get(run.request_id)
+        if call is None:
             continue
-        for earlier in seen_versions[asked.front, asked.start]:
-            is_later = asked.sent_at > earlier.at + NO_WAY_BACK
+        for earlier in seen_versions[call.front, call.front_start]:
+            is_later = call.sent_at > earlier.at + STALE_CONFIGURATION_S
             if is_later and run.version < earlier.version:
-                yield f"{_describe(asked)}: {run.version} after {earlier.version}"
+                yield f"{_describe(call)}: {run.version} after {earlier.version}"
                 break
-        known = seen_versions[asked.front, asked.start]
+        known = seen_versions[call.front, call.front_start]
         if not known or run.version > known[-1].version:
             known.append(run)
 
 
 def _check_read_back(evidence: Evidence) -> Iterator[str]:
-    """What is read back is never older than what was acknowledged, and is as sent."""
-    for read in evidence.seen.reads:
-        expected = evidence.find_version(read.asked_at - CONFIGURATION)
+    """A document that is read is as sent, and not older than the acknowledged one."""
+    for read in evidence.observations.reads:
+        expected = evidence.find_version(read.asked_at - CONFIGURATION_DELAY_S)
         if read.version < expected:
             yield f"version {read.version} at {read.asked_at:.3f}, not {expected}"
         if not read.is_as_sent:
@@ -232,36 +234,37 @@
 
 
 def _check_nothing_lost(evidence: Evidence) -> Iterator[str]:
-    """The newest acknowledged document is there at the end."""
-    expected = max((one.version for one in evidence.seen.accepted), default=0)
-    last = evidence.seen.reads[-1] if evidence.seen.reads else None
-    if last is None or last.asked_at < evidence.seen.load_ended_at:
+    """The newest acknowledged document is still stored at the end."""
+    expected = max((one.version for one in evidence.observations.accepted), default=0)
+    last = evidence.observations.reads[-1] if evidence.observations.reads else None
+    if last is None or last.asked_at < evidence.observations.load_ended_at:
         yield "no document could be read at the end"
     elif last.version < expected:
         yield f"version {last.version} at the end, not {expected}"
 
 
 def _check_memory(evidence: Evidence) -> Iterator[str]:
-    """Memory is given back soon after its use, and not set aside for long in vain."""
-    for ticket in evidence.seen.tickets:
-        if ticket.used_until > ticket.since:
-            spare = ticket.until - ticket.used_until - MEMORY_FREE
+    """Reservations are released soon after their last use, or if they stay unused."""
+    for reservation in evidence.observations.reservations:
+        if reservation.used_until > reservation.since:
+            spare = reservation.until - reservation.used_until - RESERVATION_RELEASE_S
         else:
-            spare = ticket.until - ticket.since - MEMORY_IDLE
-        if spare > MARGIN:
-            yield f"{ticket.ticket} at {ticket.upstream}, {spare:.1f} s too long"
+            spare = reservation.until - reservation.since - IDLE_RESERVATION_S
+        if spare > CLOCK_MARGIN_S:
+            place = f"{reservation.name} at {reservation.upstream}"
+            yield f"{place}, {spare:.1f} s too long"
 
 
 def _check_retry_budget(evidence: Evidence) -> Iterator[str]:
-    """In no window do repeats exceed the budget that all processes share."""
+    """Retries never exceed the budget that all processes share."""
     window = BOUNDS.retry_window
     firsts: dict[str, list[float]] = defaultdict(list)
     repeats: dict[str, list[float]] = defaultdict(list)
     known: set[str] = set()
-    for arrived in sorted(evidence.seen.arrived, key=lambda one: one.at):
-        counted = repeats if arrived.request in known else firsts
-        counted[arrived.service].append(arrived.at)
-        known.add(arrived.request)
+    for arrival in sorted(evidence.observations.arrivals, key=lambda one: one.at):
+        counted = repeats if arrival.request_id in known else firsts
+        counted[arrival.service].append(arrival.at)
+        known.add(arrival.request_id)
     for service, times in repeats.items():
         for place, at in enumerate(times):
             count = place + 1 - bisect_left(times, at - window)
@@ -271,96 +274,95 @@
             )
             allowed = BOUNDS.retry_ratio * requests + BOUNDS.retry_slack
             if count > allowed:
-                yield f"{service} at {at:.3f}: {count} repeats, {allowed:.0f} allowed"
+                yield f"{service} at {at:.3f}: {count} retries, {allowed:.0f} allowed"
                 break
 
 
 def _check_request_limits(evidence: Evidence) -> Iterator[str]:
-    """Who passed on that a replica takes only so many requests keeps to it.
-
-    All fronts together, in any window, but for what is tolerated.
-    """
-    for limited in evidence.seen.limited:
-        times = _list_told(evidence, limited)
-        allowed = LIMIT_EXCESS * limited.rate * LIMIT_WINDOW + LIMIT_SLACK
+    """Fronts that know of a rate limit respect it together, in every window."""
+    for period in evidence.observations.rate_limit_periods:
+        times = _list_informed_arrivals(evidence, period)
+        allowed = RATE_EXCESS_FACTOR * period.rate * RATE_WINDOW_S + RATE_SLACK_REQUESTS
         for at in times:
-            count = _count(times, at, at + LIMIT_WINDOW)
+            count = _count(times, at, at + RATE_WINDOW_S)
             if count > allowed:
                 yield (
-                    f"{limited.upstream} at {at:.3f}: {count} requests in "
-                    f"{LIMIT_WINDOW:g} s, {limited.rate:g} a second allowed"
+                    f"{period.upstream} at {at:.3f}: {count} requests in "
+                    f"{RATE_WINDOW_S:g} s, {period.rate:g} per second allowed"
                 )
                 break
 
 
-def _list_told(evidence: Evidence, limited: Limited) -> list[float]:
-    """When requests came to a limited replica from fronts that knew of it."""
-    told_at: dict[tuple[ProcessName, int], float] = {}
+def _list_informed_arrivals(evidence: Evidence, period: RateLimitPeriod) -> list[float]:
+    """List when a rate-limited replica got requests from fronts that knew the limit."""
+    informed_at: dict[tuple[ProcessName, int], float] = {}
     times = []
-    for arrived in sorted(evidence.seen.arrived, key=lambda one: one.at):
-        asked = evidence.seen.asked.get(arrived.request)
-        is_there = arrived.upstream == limited.upstream
-        if asked is None or not is_there:
+    for arrival in sorted(evidence.observations.arrivals, key=lambda one: one.at):
+        call = evidence.observations.caller_requests.get(arrival.request_id)
+        is_there = arrival.upstream == period.upstream
+        if call is None or not is_there:
             continue
-        if not limited.since <= arrived.at <= limited.until:
+        if not period.since <= arrival.at <= period.until:
             continue
-        known_from = told_at.setdefault(
-            (asked.front, asked.start), arrived.at + LIMIT_LEARNING
+        known_from = informed_at.setdefault(
+            (call.front, call.front_start), arrival.at + RATE_LIMIT_DELAY_S
         )
-        if arrived.at >= known_from:
-            times.append(arrived.at)
+        if arrival.at >= known_from:
+            times.append(arrival.at)
     return times
 
 
 def _check_pauses(evidence: Evidence) -> Iterator[str]:
-    """A front that is asked for a pause keeps it, unless it is disturbed meanwhile."""
+    """A front respects a requested backoff, unless a fault affects it meanwhile."""
     arrivals = _list_arrivals(evidence)
-    for refusal in evidence.seen.turned_away:
-        asked = evidence.seen.asked.get(refusal.request)
-        if asked is None:
+    for rejection in evidence.observations.rejections:
+        call = evidence.observations.caller_requests.get(rejection.request_id)
+        if call is None:
             continue
-        until = refusal.at + refusal.pause
-        if evidence.is_disturbed(asked.front, refusal.at, until):
+        until = rejection.at + rejection.backoff
+        if evidence.is_disturbed(call.front, rejection.at, until):
             continue
-        times = arrivals[asked.front, asked.start, refusal.upstream]
-        count = _count(times, refusal.at + UNDER_WAY, until)
-        if count > PAUSE_SLACK:
+        times = arrivals[call.front, call.front_start, rejection.upstream]
+        count = _count(times, rejection.at + IN_FLIGHT_S, until)
+        if count > BACKOFF_SLACK_REQUESTS:
             yield (
-                f"{refusal.upstream} at {refusal.at:.3f}: {count} requests of "
-                f"{asked.front} in the {refusal.pause:g} s that it asked for"
+                f"{rejection.upstream} at {rejection.at:.3f}: {count} requests of "
+                f"{call.front} in the {rejection.backoff:g} s of its backoff"
             )
 
 
 def _check_farewells(evidence: Evidence) -> Iterator[str]:
-    """A front that passed on a farewell sends there nothing that comes to it later."""
-    told_at: dict[tuple[ProcessName, int, UpstreamId], float] = {}
-    for farewell in evidence.seen.farewells:
-        asked = evidence.seen.asked.get(farewell.request)
-        if asked is not None and asked.status == 200 and asked.ended_at is not None:
-            place = (asked.front, asked.start, farewell.upstream)
-            told_at[place] = min(asked.ended_at, told_at.get(place, math.inf))
-    for arrived in evidence.seen.arrived:
-        asked = evidence.seen.asked.get(arrived.request)
-        if asked is None:
+    """A front that received a drain notice sends that replica no later requests."""
+    informed_at: dict[tuple[ProcessName, int, UpstreamId], float] = {}
+    for notice in evidence.observations.drain_notices:
+        call = evidence.observations.caller_requests.get(notice.request_id)
+        if call is not None and call.status == 200 and call.ended_at is not None:
+            place = (call.front, call.front_start, notice.upstream)
+            informed_at[place] = min(call.ended_at, informed_at.get(place, math.inf))
+    for arrival in evidence.observations.arrivals:
+        call = evidence.observations.caller_requests.get(arrival.request_id)
+        if call is None:
             continue
-        told = told_at.get((asked.front, asked.start, arrived.upstream), math.inf)
-        if asked.sent_at <= told + DRAIN + MARGIN:
+        informed = informed_at.get(
+            (call.front, call.front_start, arrival.upstream), math.inf
+        )
+        if call.sent_at <= informed + DRAIN_DELAY_S + CLOCK_MARGIN_S:
             continue
-        if not evidence.is_disturbed(asked.front, told, arrived.at):
-            late = asked.sent_at - told
-            yield f"{_describe(asked)}: reached {arrived.upstream} {late:.2f} s after"
+        if not evidence.is_disturbed(call.front, informed, arrival.at):
+            late = call.sent_at - informed
+            yield f"{_describe(call)}: reached {arrival.upstream} {late:.2f} s after"
 
 
 def _list_arrivals(
     evidence: Evidence,
 ) -> dict[tuple[ProcessName, int, UpstreamId], list[float]]:
-    """When requests came to each replica from each start of each front."""
+    """List when requests arrived, by front, start of the front and replica."""
     arrivals: dict[tuple[ProcessName, int, UpstreamId], list[float]]
     arrivals = defaultdict(list)
-    for arrived in sorted(evidence.seen.arrived, key=lambda one: one.at):
-        asked = evidence.seen.asked.get(arrived.request)
-        if asked is not None:
-            arrivals[asked.front, asked.start, arrived.upstream].append(arrived.at)
+    for arrival in sorted(evidence.observations.arrivals, key=lambda one: one.at):
+        call = evidence.observations.caller_requests.get(arrival.request_id)
+        if call is not None:
+            arrivals[call.front, call.front_start, arrival.upstream].append(arrival.at)
     return arrivals
 
 
@@ -369,81 +371,89 @@
 
 
 def _check_exits(evidence: Evidence) -> Iterator[str]:
-    """No process ends unless it was asked to, and then without a failure."""
-    for one in evidence.seen.exits:
+    """Processes end only when terminated, with exit code 0."""
+    for one in evidence.observations.exits:
         yield f"{one.process} at {one.at:.3f} with code {one.code}"
 
 
-# Promises of calm
+# Promises that hold only in calm periods
 
 
 def _check_calm_service(evidence: Evidence) -> Iterator[str]:
-    """In calm, requests are served; few are refused, none is broken off."""
-    refused: list[Asked] = []
+    """In calm periods few requests are rejected, and all others succeed."""
+    rejected: list[CallerRequest] = []
     count = 0
-    for asked in evidence.seen.asked.values():
-        if asked.ended_at is None or asked.is_cancelled or asked.version:
+    for call in evidence.observations.caller_requests.values():
+        if call.ended_at is None or call.is_cancelled or call.version:
             continue
-        if not evidence.is_calm(asked.sent_at, asked.ended_at):
+        if not evidence.is_calm(call.sent_at, call.ended_at):
             continue
         count += 1
-        if asked.status == 503:
-            refused.append(asked)
-        elif asked.status != 200:
-            yield _describe(asked)
-    if len(refused) > max(2.0, REFUSED_IN_CALM * count):
-        yield f"{len(refused)} of {count} refused, such as {_describe(refused[0])}"
+        if call.status == 503:
+            rejected.append(call)
+        elif call.status != 200:
+            yield _describe(call)
+    if len(rejected) > max(2.0, MAX_REJECTED_SHARE * count):
+        yield f"{len(rejected)} of {count} rejected, such as {_describe(rejected[0])}"
 
 
 def _check_in_time(evidence: Evidence) -> Iterator[str]:
-    """Every request ends in its time, whatever its replica does."""
-    for asked in evidence.seen.asked.values():
-        end = asked.ended_at
-        if end is None or not evidence.is_calm(asked.sent_at, end):
+    """In calm periods every request ends within its timeout."""
+    for call in evidence.observations.caller_requests.values():
+        end = call.ended_at
+        if end is None or not evidence.is_calm(call.sent_at, end):
             continue
-        if end - asked.sent_at > asked.wait + LATE:
-            yield f"{_describe(asked)}: ended after {end - asked.sent_at:.2f} s"
+        if end - call.sent_at > call.timeout_s + RESPONSE_DELAY_S:
+            yield f"{_describe(call)}: ended after {end - call.sent_at:.2f} s"
 
 
 def _check_in_force(evidence: Evidence) -> Iterator[str]:
-    """In calm, what was acknowledged is in force everywhere."""
-    for asked in evidence.seen.asked.values():
-        expected = evidence.find_version(asked.sent_at - CONFIGURATION - MARGIN)
-        for run in evidence.runs[asked.request]:
+    """In calm periods all processes use the acknowledged document."""
+    for call in evidence.observations.caller_requests.values():
+        expected = evidence.find_version(
+            call.sent_at - CONFIGURATION_DELAY_S - CLOCK_MARGIN_S
+        )
+        for run in evidence.runs[call.request_id]:
             if run.version >= expected:
                 continue
-            if evidence.is_calm(asked.sent_at, run.at):
-                yield f"{_describe(asked)}: {run.version} obeyed, not {expected}"
+            if evidence.is_calm(call.sent_at, run.at):
+                yield f"{_describe(call)}: {run.version} used, not {expected}"
 
 
 def _check_drained(evidence: Evidence) -> Iterator[str]:
-    """In calm, a replica that leaves gets nothing new."""
-    departed: dict[UpstreamId, Departed] = {}
-    for one in evidence.seen.departed:
-        departed.setdefault(one.upstream, one)
-    for run in evidence.seen.ran:
-        left = departed.get(run.upstream)
-        if left is None or run.at <= left.at + DRAIN + MARGIN:
+    """In calm periods a draining replica gets no new requests."""
+    acknowledged_by_upstream: dict[UpstreamId, DrainAcknowledgement] = {}
+    for one in evidence.observations.drain_acknowledgements:
+        acknowledged_by_upstream.setdefault(one.upstream, one)
+    for run in evidence.observations.executions:
+        acknowledged = acknowledged_by_upstream.get(run.upstream)
+        if (
+            acknowledged is None
+            or run.at <= acknowledged.at + DRAIN_DELAY_S + CLOCK_MARGIN_S
+        ):
             continue
-        if evidence.is_calm(left.at, run.at):
-            yield f"{run.request} reached {run.upstream} {run.at - left.at:.2f} s after"
+        if evidence.is_calm(acknowledged.at, run.at):
+            delay = run.at - acknowledged.at
+            yield f"{run.request_id} reached {run.upstream} {delay:.2f} s after"
 
 
 def _check_planned_stop(evidence: Evidence) -> Iterator[str]:
-    """A planned stop cuts off no request that a replica works on."""
-    for stop in evidence.seen.stops:
-        if not evidence.is_calm(stop.since, stop.until, but=stop.process):
+    """A planned stop breaks off no request that is running at a replica."""
+    for stop in evidence.observations.stops:
+        if not evidence.is_calm(stop.since, stop.until, excluding=stop.process):
             continue
-        if stop in evidence.seen.overdue:
-            yield f"{stop.process} did not end within its grace time"
-        for asked in evidence.seen.asked.values():
-            is_there = asked.front == stop.process and not asked.is_cancelled
-            sent_in = stop.since - asked.wait < asked.sent_at < stop.since + STOP_READS
-            if not (is_there and sent_in) or asked.ended_at is None:
+        if stop in evidence.observations.overdue_stops:
+            yield f"{stop.process} did not end within its grace period"
+        for call in evidence.observations.caller_requests.values():
+            is_there = call.front == stop.process and not call.is_cancelled
+            sent_in = (
+                stop.since - call.timeout_s < call.sent_at < stop.since + STOP_ACCEPT_S
+            )
+            if not (is_there and sent_in) or call.ended_at is None:
                 continue
-            has_run = bool(evidence.runs[asked.request])
-            if asked.status is None and has_run and asked.ended_at > stop.since:
-                yield _describe(asked)
+            has_run = bool(evidence.runs[call.request_id])
+            if call.status is None and has_run and call.ended_at > stop.since:
+                yield _describe(call)
 
 
 CHECKS: tuple[Callable[[Evidence], Iterator[str]], ...] = (
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -1,7 +1,7 @@
-"""Stand-in replicas: engines with memory that can be set aside, and a plain service.
+"""Stand-in replicas: engines with reservable memory, and a plain service.
 
-They speak the platform's protocol and keep what they ran, so that promises can be
-checked from their side.
+They speak the platform's protocol and record what they execute, for the checks of the
+promises.
 """
 
 from __future__ import annotations
@@ -46,71 +46,71 @@
 from scalebend.soak.faults import ReplicaMode
 from scalebend.soak.layout import ProcessName
 from scalebend.soak.observations import (
-    Answered,
-    Arrived,
-    Departed,
-    Farewell,
-    Limited,
+    Arrival,
+    DrainAcknowledgement,
+    DrainNotice,
+    Execution,
     Observations,
-    Ran,
-    Ticket,
-    TurnedAway,
+    RateLimitPeriod,
+    Rejection,
+    Reservation,
+    SentResponse,
 )
 from scalebend.standins.ports import find_free_ports
 from scalebend.standins.proxy import Proxy, run_proxy
 
 logger = structlog.get_logger(__name__)
 
-CALL_TIMEOUT = 1.0
-"""Seconds for one call to a control instance, as on the platform."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of one call to a control instance in seconds, as on the platform."""
 
-LEAVE_TIME = 3.5
-"""Seconds for which a leaving replica still serves after the acknowledgement."""
+DRAIN_DURATION_S = 3.5
+"""Seconds for which a draining replica still serves after the acknowledgement."""
 
-LEAVE_PATIENCE = 6.0
-"""Seconds after which a replica leaves although nobody acknowledged it."""
+DRAIN_TIMEOUT_S = 6.0
+"""Seconds after which a replica ends even if its drain was not acknowledged."""
 
 SLOTS = 8
-"""Requests that a replica works on at once; it refuses more than four times as many."""
+"""Registered slots of a replica; it rejects requests beyond four times as many."""
 
-WHOLE_EVENTS = 3
-"""Events that a broken replica sends before it breaks off inside one."""
+EVENTS_BEFORE_RESET = 3
+"""Complete events that a resetting replica sends before it resets the connection."""
 
-SERVICE_TIME = 0.03
-"""Seconds that a call of the plain service takes."""
+SERVICE_TIME_S = 0.03
+"""Duration of a call to the plain service in seconds."""
 
 
-def build_event(request: str, number: int) -> bytes:
-    """Event ``number`` of the answer to ``request``."""
-    return f"id: {number}\ndata: {request}/{number}\n\n".encode()
+def build_event(request_id: str, number: int) -> bytes:
+    """Build event ``number`` of the response to ``request_id``."""
+    return f"id: {number}\ndata: {request_id}/{number}\n\n".encode()
 
 
-def build_body(request: str) -> bytes:
-    """Answer of the plain service to ``request``."""
-    return f"done {request}".encode()
+def build_body(request_id: str) -> bytes:
+    """Build the response body of the plain service to ``request_id``."""
+    return f"done {request_id}".encode()
 
 
 class Fleet:
-    """All replicas, by number and by address."""
+    """All replicas of a run."""
 
     def __init__(
-        self, seen: Observations, controls: dict[ProcessName, str], seed: int
+        self, observations: Observations, controls: dict[ProcessName, str], seed: int
     ) -> None:
-        self.seen = seen
+        self.observations = observations
         self.controls = controls
         self.chooser = random.Random(seed)
         self.replicas: list[Replica] = []
         self.incarnations = 0
 
     def find(self, address: str) -> Replica | None:
-        """The replica behind ``address``, if it runs."""
+        """Return the running replica at ``address``, if any."""
         for replica in self.replicas:
             if replica.address == address and replica.is_up:
                 return replica
         return None
 
     def build_upstream_id(self, before: UpstreamId | None = None) -> UpstreamId:
-        """An id that no incarnation of any replica had, now and then an old name."""
+        """Build an unused upstream id; some reuse the name in ``before``."""
         self.incarnations += 1
         name = UpstreamName(f"i-{self.incarnations}")
         if before is not None and self.incarnations % 2:
@@ -119,123 +119,140 @@
 
 
 class Replica:
-    """One replica over its incarnations, at one address."""
+    """One replica at a fixed address, over its incarnations."""
 
     def __init__(self, fleet: Fleet, service: ServiceName, address: str) -> None:
         self._fleet = fleet
         self._service = service
         self.address = address
         self.proxy: Proxy | None = None
-        self.mode = ReplicaMode.SOUND
+        self.mode = ReplicaMode.HEALTHY
         self.request_limit: float | None = None
-        """Requests a second that it names in its answers."""
+        """Announced rate limit in requests per second."""
 
-        self.pause: float | None = None
-        """Seconds that it asks for while it turns away what comes."""
+        self.backoff: float | None = None
+        """Requested backoff in seconds while it rejects all requests."""
 
         self.is_up = True
         self._id = fleet.build_upstream_id()
         self._sequence = 0
         self._is_draining = False
-        self._says_farewell = False
-        """Whether its answers say that it leaves."""
+        self._announces_drain = False
+        """Whether its responses announce that it drains."""
 
         self._running = 0
-        self._tickets: dict[str, Ticket] = {}
+        self._reservations: dict[str, Reservation] = {}
         self._memory: dict[str, int] = {}
 
     # Requests
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request of a front, or of a control instance."""
+        """Handle one request from a front or a control instance."""
         if not self.is_up:
             return self._reset(request)
         if request.path == REPORT_PATH:
             report = ReplicaReport(1.0, 0, self._running)
             return web.Response(body=encode_report(report))
         if request.path == ORDER_PATH:
-            return self._take_order(decode_order(await request.read()))
+            return self._apply_memory_order(decode_order(await request.read()))
         return await self._serve(request)
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        seen = self._fleet.seen
-        name = request.headers[REQUEST_ID]
+        observations = self._fleet.observations
+        request_id = request.headers[REQUEST_ID]
         now = asyncio.get_running_loop().time()
-        seen.arrived.append(Arrived(name, self._service, now, self._id))
+        observations.arrivals.append(Arrival(request_id, self._service, now, self._id))
         expected = request.headers.get(EXPECTED_UPSTREAM)
         if expected not in (None, get_upstream_name(self._id)):
-            return web.Response(status=421, headers=build_answer_headers(name, None))
-        if self.pause is not None:
-            return self._turn_away(name, self.pause)
-        tickets = self._find_tickets(request)
+            return web.Response(
+                status=421, headers=build_answer_headers(request_id, None)
+            )
+        if self.backoff is not None:
+            return self._reject(request_id, self.backoff)
+        reservations = self._find_reservations(request)
         is_full = self._running >= 4 * SLOTS or self.mode is ReplicaMode.FULL
-        if is_full or tickets is None:
-            return self._refuse(name)
+        if is_full or reservations is None:
+            return self._respond_not_run(request_id)
         body = await request.read()
         version = read_version(request.headers.get(CUSTOMER, ""))
-        is_altered = request.method != "POST" or body != name.encode()
-        seen.ran.append(Ran(name, self._id, now, version, is_altered))
+        is_altered = request.method != "POST" or body != request_id.encode()
+        observations.executions.append(
+            Execution(request_id, self._id, now, version, is_altered)
+        )
         self._running += 1
         incarnation = self._id
         try:
-            answer = await self._answer(request, name)
+            response = await self._respond(request, request_id)
         finally:
             self._running -= 1
-            for ticket in tickets:
-                ticket.used_until = asyncio.get_running_loop().time()
+            for reservation in reservations:
+                reservation.used_until = asyncio.get_running_loop().time()
         if not self.is_up or self._id != incarnation:
             return self._reset(request)
-        seen.answered.append(Answered(name, answer.status))
-        return answer
+        observations.sent_responses.append(SentResponse(request_id, response.status))
+        return response
 
-    def _turn_away(self, name: str, pause: float) -> web.Response:
+    def _reject(self, request_id: str, backoff: float) -> web.Response:
         now = asyncio.get_running_loop().time()
-        self._fleet.seen.turned_away.append(TurnedAway(name, self._id, now, pause))
-        return self._refuse(name, pause)
-
-    def _refuse(self, name: str, pause: float | None = None) -> web.Response:
-        # What it says of itself stands in all its answers.
-        refusal = build_answer_headers(
-            name,
+        self._fleet.observations.rejections.append(
+            Rejection(request_id, self._id, now, backoff)
+        )
+        return self._respond_not_run(request_id, backoff)
+
+    def _respond_not_run(
+        self, request_id: str, backoff: float | None = None
+    ) -> web.Response:
+        # Rejections, too, announce the rate limit and a drain.
+        not_run_headers = build_answer_headers(
+            request_id,
             None,
             has_not_run=True,
             request_limit=self.request_limit,
-            backoff=pause,
-            is_draining=self._says_farewell,
+            backoff=backoff,
+            is_draining=self._announces_drain,
         )
-        return web.Response(status=503, headers=refusal)
+        return web.Response(status=503, headers=not_run_headers)
 
-    async def _answer(self, request: web.BaseRequest, name: str) -> web.StreamResponse:
-        told = "of-another" if self.mode is ReplicaMode.FOREIGN else name
-        seal = f"{self._id}/{name}"
+    async def _respond(
+        self, request: web.BaseRequest, request_id: str
+    ) -> web.StreamResponse:
+        response_id = (
+            "of-another" if self.mode is ReplicaMode.FOREIGN_ID else request_id
+        )
+        seal = f"{self._id}/{request_id}"
         headers = build_answer_headers(
-            told,
+            response_id,
             seal,
             request_limit=self.request_limit,
-            is_draining=self._says_farewell,
+            is_draining=self._announces_drain,
         )
-        if self._says_farewell:
+        if self._announces_drain:
             now = asyncio.get_running_loop().time()
-            self._fleet.seen.farewells.append(Farewell(name, self._id, now))
+            self._fleet.observations.drain_notices.append(
+                DrainNotice(request_id, self._id, now)
+            )
         if self.mode is ReplicaMode.FAILING:
             return web.Response(status=500, headers=headers, body=b"own failure")
         events = int(request.query.get("events", "0"))
         if not events:
-            if self.mode is ReplicaMode.BROKEN:
+            if self.mode is ReplicaMode.RESETTING:
                 return self._reset(request)
-            await asyncio.sleep(SERVICE_TIME)
-            answer = web.Response(headers=headers, body=build_body(name))
-            if self.mode is ReplicaMode.EXTRA and request.transport is not None:
+            await asyncio.sleep(SERVICE_TIME_S)
+            response = web.Response(headers=headers, body=build_body(request_id))
+            if (
+                self.mode is ReplicaMode.EXTRA_RESPONSE
+                and request.transport is not None
+            ):
                 asyncio.get_running_loop().call_later(
                     0.001, request.transport.write, b"HTTP/1.1 200 OK\r\n\r\n"
                 )
-            return answer
-        return await self._stream(request, name, events, headers)
+            return response
+        return await self._stream(request, request_id, events, headers)
 
     async def _stream(
         self,
         request: web.BaseRequest,
-        name: str,
+        request_id: str,
         events: int,
         headers: aiohttp.typedefs.LooseHeaders,
     ) -> web.StreamResponse:
@@ -244,22 +261,25 @@
         parts = 1 + len([helper for helper in helpers if helper])
         if prompt is not None:
             await asyncio.sleep(compute_prefill_time(ENGINE, prompt.prompt) / parts)
-        answer = web.StreamResponse(headers=headers)
-        answer.content_type = "text/event-stream"
-        await answer.prepare(request)
+        response = web.StreamResponse(headers=headers)
+        response.content_type = "text/event-stream"
+        await response.prepare(request)
         first = int(request.headers.get(LAST_EVENT, "0")) + 1
         incarnation = self._id
         for number in range(first, events + 1):
             if not self.is_up or self._id != incarnation:
                 return self._reset(request)
-            event = build_event(name, number)
-            if self.mode is ReplicaMode.BROKEN and number == first + WHOLE_EVENTS:
-                await answer.write(event[: len(event) // 2])
+            event = build_event(request_id, number)
+            if (
+                self.mode is ReplicaMode.RESETTING
+                and number == first + EVENTS_BEFORE_RESET
+            ):
+                await response.write(event[: len(event) // 2])
                 return self._reset(request)
-            await answer.write(event)
+            await response.write(event)
             await asyncio.sleep(float(request.query["gap"]))
-        await answer.write_eof()
-        return answer
+        await response.write_eof()
+        return response
 
     def _reset(self, request: web.BaseRequest) -> web.Response:
         if request.transport is not None:
@@ -268,75 +288,75 @@
 
     # Memory
 
-    def _find_tickets(self, request: web.BaseRequest) -> list[Ticket] | None:
-        """Tickets that a request names; ``None`` when a helper lacks one."""
+    def _find_reservations(self, request: web.BaseRequest) -> list[Reservation] | None:
+        """Return the reservations that a request names; ``None`` if one is missing."""
         found = []
         now = asyncio.get_running_loop().time()
         for name in filter(None, request.headers.get(HELPERS, "").split(",")):
-            address, _, ticket_name = name.partition("/")
+            address, _, reservation_name = name.partition("/")
             helper = self._fleet.find(address)
             if helper is None or helper._is_draining:
                 return None
-            if not ticket_name:
+            if not reservation_name:
                 continue
-            ticket = helper._tickets.get(ticket_name)
-            if ticket is None or ticket.until <= now:
+            reservation = helper._reservations.get(reservation_name)
+            if reservation is None or reservation.until <= now:
                 return None
-            found.append(ticket)
+            found.append(reservation)
         return found
 
-    def _take_order(self, order: MemoryOrder) -> web.Response:
+    def _apply_memory_order(self, order: MemoryOrder) -> web.Response:
         now = asyncio.get_running_loop().time()
-        for name, ticket in list(self._tickets.items()):
-            if ticket.until <= now:
-                del self._tickets[name]
-        known = self._tickets.get(order.ticket)
+        for name, reservation in list(self._reservations.items()):
+            if reservation.until <= now:
+                del self._reservations[name]
+        known = self._reservations.get(order.ticket)
         if order.tokens == 0:
             if known is not None:
                 known.until = now
-                del self._tickets[order.ticket]
+                del self._reservations[order.ticket]
             return web.json_response({})
-        used = sum(self._memory[name] for name in self._tickets)
+        used = sum(self._memory[name] for name in self._reservations)
         if known is None and used + order.tokens > ENGINE.memory_tokens:
             return web.json_response({}, status=409)
         if known is None:
-            known = Ticket(self._id, order.ticket, now, now, now)
-            self._tickets[order.ticket] = known
+            known = Reservation(self._id, order.ticket, now, now, now)
+            self._reservations[order.ticket] = known
             self._memory[order.ticket] = order.tokens
-            self._fleet.seen.tickets.append(known)
+            self._fleet.observations.reservations.append(known)
         known.until = now + order.hold
         return web.json_response({})
 
-    async def limit_requests(self, rate: float, lasts: float) -> None:
-        """Name a limit for a while, or until this incarnation is over."""
+    async def limit_rate(self, rate: float, lasts: float) -> None:
+        """Announce a rate limit for ``lasts`` seconds or until the incarnation ends."""
         now = asyncio.get_running_loop().time
-        limited = Limited(self._id, rate, now(), now() + lasts)
-        self._fleet.seen.limited.append(limited)
+        period = RateLimitPeriod(self._id, rate, now(), now() + lasts)
+        self._fleet.observations.rate_limit_periods.append(period)
         self.request_limit = rate
-        await self._live_on(lasts)
-        limited.until = now()
+        await self._wait_in_incarnation(lasts)
+        period.until = now()
         self.request_limit = None
 
-    async def turn_away(self, pause: float, lasts: float) -> None:
-        """Turn away what comes for a while, or until this incarnation is over."""
-        self.pause = pause
-        await self._live_on(lasts)
-        self.pause = None
+    async def reject_requests(self, backoff: float, lasts: float) -> None:
+        """Reject all requests for ``lasts`` seconds or until the incarnation ends."""
+        self.backoff = backoff
+        await self._wait_in_incarnation(lasts)
+        self.backoff = None
 
-    async def _live_on(self, lasts: float) -> None:
-        """Wait for ``lasts`` seconds, or until this incarnation is over."""
+    async def _wait_in_incarnation(self, lasts: float) -> None:
+        """Wait for ``lasts`` seconds or until the incarnation ends."""
         incarnation = self._id
         now = asyncio.get_running_loop().time
         end = now() + lasts
         while now() < end and self._id == incarnation:
             await asyncio.sleep(0.05)
 
-    # Registration and life
+    # Registration and lifecycle
 
     async def keep_registered(
         self, session: aiohttp.ClientSession, interval: float
     ) -> None:
-        """Register again and again until cancelled."""
+        """Register periodically until cancelled."""
         while True:
             if self.is_up:
                 await self._call(session, "PUT")
@@ -345,7 +365,7 @@
     async def _call(
         self, session: aiohttp.ClientSession, method: str
     ) -> ProcessName | None:
-        """Call control instances until one acknowledges; return which."""
+        """Call control instances until one acknowledges; return its name."""
         self._sequence += 1
         endpoint = Endpoint(
             self._id,
@@ -366,62 +386,62 @@
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                 async with session.request(
                     method, url, data=body, timeout=_TIMEOUT
-                ) as answer:
-                    if answer.status == 200:
+                ) as response:
+                    if response.status == 200:
                         return name
         return None
 
-    async def leave(self, session: aiohttp.ClientSession) -> None:
-        """Leave as planned, then come back as another incarnation."""
+    async def drain(self, session: aiohttp.ClientSession) -> None:
+        """Drain and deregister, then restart as a new incarnation."""
         self._is_draining = True
-        self._says_farewell = True
+        self._announces_drain = True
         method = "DELETE" if self._fleet.chooser.random() < 0.3 else "PUT"
         loop = asyncio.get_running_loop()
-        end = loop.time() + LEAVE_PATIENCE
+        end = loop.time() + DRAIN_TIMEOUT_S
         while loop.time() < end:
             control = await self._call(session, method)
             if control is not None:
-                departed = Departed(self._id, control, loop.time())
-                self._fleet.seen.departed.append(departed)
-                await asyncio.sleep(LEAVE_TIME)
+                acknowledgement = DrainAcknowledgement(self._id, control, loop.time())
+                self._fleet.observations.drain_acknowledgements.append(acknowledgement)
+                await asyncio.sleep(DRAIN_DURATION_S)
                 break
             await asyncio.sleep(0.1)
         await self._call(session, "DELETE")
         await self.crash(0.2)
 
-    async def leave_by_answers(self) -> None:
-        """Leave, as answers alone say, then come back as another incarnation."""
-        self._says_farewell = True
-        await asyncio.sleep(LEAVE_TIME)
+    async def drain_by_responses(self) -> None:
+        """Drain, announced only in responses, then restart as a new incarnation."""
+        self._announces_drain = True
+        await asyncio.sleep(DRAIN_DURATION_S)
         await self.crash(0.2)
 
     async def crash(self, down: float) -> None:
-        """End without a word, then come back as another incarnation."""
+        """Stop without notice, then restart as a new incarnation."""
         if not self.is_up:
             return
         self.is_up = False
         now = asyncio.get_running_loop().time()
-        for ticket in self._tickets.values():
-            ticket.until = min(ticket.until, now)
-        self._tickets.clear()
+        for reservation in self._reservations.values():
+            reservation.until = min(reservation.until, now)
+        self._reservations.clear()
         if self.proxy is not None:
             self.proxy.reset_all()
         await asyncio.sleep(down)
         self._id = self._fleet.build_upstream_id(self._id)
         self._sequence = 0
         self._is_draining = False
-        self._says_farewell = False
+        self._announces_drain = False
         self.is_up = True
 
 
-_TIMEOUT = aiohttp.ClientTimeout(total=CALL_TIMEOUT)
+_TIMEOUT = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
 
 
 @contextlib.asynccontextmanager
 async def run_replica(
     fleet: Fleet, service: ServiceName, session: aiohttp.ClientSession, interval: float
 ) -> AsyncIterator[Replica]:
-    """Serve a replica behind a proxy and keep it registered."""
+    """Run a registered replica behind a proxy until the block ends."""
     target, proxied = find_free_ports(2)
     replica = Replica(fleet, service, f"127.0.0.1:{proxied}")
     runner = web.ServerRunner(web.Server(replica.handle, handler_cancellation=True))
--- a/src/scalebend/soak/runner.py
+++ b/src/scalebend/soak/runner.py
@@ -1,4 +1,4 @@
-"""One run: starts everything, lets a schedule happen, and checks the promises."""
+"""Runs one seed: starts all processes, injects its faults and checks the promises."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 import structlog
 
 from scalebend.soak.callers import run_callers
-from scalebend.soak.deployment import HEARTBEAT, run_deployment
+from scalebend.soak.deployment import HEARTBEAT_INTERVAL_S, run_deployment
 from scalebend.soak.documents import ENGINES, PLAIN
 from scalebend.soak.faults import build_schedule
 from scalebend.soak.injector import Injector
 from scalebend.soak.layout import Layout, ProcessName
 from scalebend.soak.observations import Observations
-from scalebend.soak.operator import CALL_TIMEOUT, Operator
+from scalebend.soak.operator import CALL_TIMEOUT_S, Operator
 from scalebend.soak.promises import Violation, check_promises
 from scalebend.soak.replicas import Fleet, run_replica
 
 logger = structlog.get_logger(__name__)
 
-START_TIMEOUT = 30.0
-"""Seconds for the first document to be taken, on a busy machine."""
+START_TIMEOUT_S = 30.0
+"""Seconds for the first document to be acknowledged, also on a busy host."""
 
-SETTLE_START = 3.0
-"""Seconds before the load: replicas register, and retries may be spent."""
+START_SETTLE_S = 3.0
+"""Seconds before the load: replicas register, and retry budgets become usable."""
 
-RECOVERY = 12.0
-"""Seconds after the last fault in which service must be back, as on the platform."""
+RECOVERY_S = 12.0
+"""Seconds after the last fault within which service must recover."""
 
-LAST_LOAD = 4.0
-"""Seconds of load after that, in calm."""
+FINAL_LOAD_S = 4.0
+"""Seconds of load after the recovery."""
 
 
 class SoakOptions(msgspec.Struct, frozen=True):
-    """What one run does; ``length`` is the load's, in seconds."""
+    """Options of one run; ``length`` is the duration of the faults in seconds."""
 
     seed: int
     length: float
@@ -48,7 +48,7 @@
 
 
 class SoakReport(msgspec.Struct, frozen=True):
-    """What one run showed."""
+    """Result of one run."""
 
     seed: int
     violations: list[Violation]
@@ -60,50 +60,55 @@
 
 
 async def run_soak(options: SoakOptions) -> SoakReport:
-    """Run one seed."""
-    seen = Observations()
+    """Run one seed and return its result."""
+    observations = Observations()
     schedule = build_schedule(options.seed, options.length, options.layout)
     async with contextlib.AsyncExitStack() as stack:
         deployment = await stack.enter_async_context(
-            run_deployment(options.folder, options.layout, seen)
+            run_deployment(options.folder, options.layout, observations)
         )
         session = await stack.enter_async_context(_open_session())
         controls = {
-            name: deployment.get_calls(name) for name in options.layout.controls
+            name: deployment.get_call_address(name) for name in options.layout.controls
         }
-        operator = Operator(controls, seen, options.seed)
-        async with asyncio.timeout(START_TIMEOUT):
+        operator = Operator(controls, observations, options.seed)
+        async with asyncio.timeout(START_TIMEOUT_S):
             await operator.change(session)
         fleet = await stack.enter_async_context(
-            _run_fleet(options, seen, controls, session)
+            _run_fleet(options, observations, controls, session)
         )
-        await asyncio.sleep(SETTLE_START)
-        injector = Injector(deployment, fleet, operator, seen, options.seed)
-        reading = asyncio.create_task(operator.read_for_ever(session))
-        async with run_callers(options.callers, deployment, seen, options.seed):
+        await asyncio.sleep(START_SETTLE_S)
+        injector = Injector(deployment, fleet, operator, observations, options.seed)
+        reading = asyncio.create_task(operator.read_forever(session))
+        async with run_callers(options.callers, deployment, observations, options.seed):
             await injector.follow(schedule, session)
-            seen.load_ended_at = asyncio.get_running_loop().time()
-            await asyncio.sleep(RECOVERY)
+            observations.load_ended_at = asyncio.get_running_loop().time()
+            await asyncio.sleep(RECOVERY_S)
             await operator.change(session)
-            await asyncio.sleep(LAST_LOAD)
+            await asyncio.sleep(FINAL_LOAD_S)
         reading.cancel()
         await operator.read(session)
-        seen.ended_at = asyncio.get_running_loop().time()
-    violations = check_promises(seen)
-    violations += [Violation("taken_changes", detail) for detail in operator.refused]
-    return _report(options, seen, violations, len(schedule.faults))
+        observations.ended_at = asyncio.get_running_loop().time()
+    violations = check_promises(observations)
+    violations += [
+        Violation("taken_changes", detail) for detail in operator.failed_changes
+    ]
+    return _report(options, observations, violations, len(schedule.faults))
 
 
 def _report(
-    options: SoakOptions, seen: Observations, violations: list[Violation], faults: int
+    options: SoakOptions,
+    observations: Observations,
+    violations: list[Violation],
+    faults: int,
 ) -> SoakReport:
     return SoakReport(
         options.seed,
         violations,
-        len(seen.asked),
-        sum(asked.status == 200 for asked in seen.asked.values()),
-        len(seen.ran),
-        len(seen.accepted),
+        len(observations.caller_requests),
+        sum(asked.status == 200 for asked in observations.caller_requests.values()),
+        len(observations.executions),
+        len(observations.accepted),
         faults,
     )
 
@@ -111,7 +116,7 @@
 @contextlib.asynccontextmanager
 async def _open_session() -> AsyncIterator[aiohttp.ClientSession]:
     connector = aiohttp.TCPConnector(force_close=True)
-    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT)
+    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
         yield session
 
@@ -119,15 +124,15 @@
 @contextlib.asynccontextmanager
 async def _run_fleet(
     options: SoakOptions,
-    seen: Observations,
+    observations: Observations,
     controls: dict[ProcessName, str],
     session: aiohttp.ClientSession,
 ) -> AsyncIterator[Fleet]:
-    fleet = Fleet(seen, controls, options.seed)
+    fleet = Fleet(observations, controls, options.seed)
     async with contextlib.AsyncExitStack() as stack:
         for number in range(options.layout.replicas):
             service = PLAIN if number in options.layout.plain_replicas else ENGINES
             await stack.enter_async_context(
-                run_replica(fleet, service, session, HEARTBEAT)
+                run_replica(fleet, service, session, HEARTBEAT_INTERVAL_S)
             )
         yield fleet
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed, and the seeds that ever failed."""
+"""Short soak runs: a fixed seed, and the seeds that have failed."""
 
 import contextlib
 import subprocess
@@ -11,31 +11,31 @@
 from scalebend.soak.layout import build_layout
 from scalebend.soak.runner import SoakOptions, run_soak
 
-SECONDS = 12.0
+DURATION_S = 12.0
 
-LINES_SHOWN = 8
+MAX_LINES = 8
 
 
 @contextlib.contextmanager
 def show_logs_of_failure(folder):
-    """Print how each process's last log ends, if the block fails.
+    """Print the end of each process's last log if the block fails.
 
-    The folder goes with the next runs; what is printed stays with the verdict.
+    Later runs delete the folder; the printed lines stay in the test report.
     """
     try:
         yield
     except BaseException:
         for process in sorted(path for path in folder.iterdir() if path.is_dir()):
             logs = sorted(process.glob("log-*"), key=lambda path: path.stat().st_mtime)
-            lines = logs[-1].read_text().splitlines()[-LINES_SHOWN:] if logs else []
+            lines = logs[-1].read_text().splitlines()[-MAX_LINES:] if logs else []
             print(process.name, len(logs), *lines, sep="\n  ")
         raise
 
 
-# Each seed that ever failed stays here; docs/soak.md tells the causes.
+# Keep every seed that has failed; docs/soak.md describes the causes.
 @pytest.mark.parametrize("seed", [1, 6, 500])
 async def test_promises_are_kept(seed, tmp_path):
-    options = SoakOptions(seed, SECONDS, build_layout(3, 2, 6), 8, tmp_path)
+    options = SoakOptions(seed, DURATION_S, build_layout(3, 2, 6), 8, tmp_path)
     with show_logs_of_failure(tmp_path):
         report = await run_soak(options)
         assert report.violations == []
@@ -43,7 +43,7 @@
 
 
 def list_running(folder):
-    """Processes whose command line names ``folder``."""
+    """Return the ids of processes whose command line contains ``folder``."""
     found = []
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         with contextlib.suppress(OSError):
@@ -54,12 +54,12 @@
 
 def test_stopped_soak_leaves_no_process_behind(tmp_path):
     command = [sys.executable, "-m", "scalebend", "soak", "--out", str(tmp_path)]
-    soak = subprocess.Popen(command)
+    process = subprocess.Popen(command)
     folder = tmp_path / "seed-1" / "control-0"
     deadline = time.monotonic() + 20.0
     while not list_running(folder) and time.monotonic() < deadline:
         time.sleep(0.1)
     assert list_running(folder)
-    soak.terminate()
-    soak.wait(timeout=20.0)
+    process.terminate()
+    process.wait(timeout=20.0)
     assert list_running(tmp_path / "seed-1") == []
--- a/tests/unit/soak/test_faults.py
+++ b/tests/unit/soak/test_faults.py
@@ -1,15 +1,15 @@
-"""Schedules of the soak: repeatable, within what the system must bear."""
+"""Fault schedules: deterministic, and within what the system must tolerate."""
 
 from hypothesis import given, strategies as st
 
 from scalebend.soak.faults import (
-    CALM,
-    DISK_RECOVERY,
-    FIRST_AT,
-    SERIES_LENGTH,
+    CALM_S,
+    DISK_RECOVERY_S,
+    FIRST_SERIES_AT_S,
+    SERIES_DURATION_S,
     Change,
+    Drain,
     Kill,
-    Leave,
     build_schedule,
 )
 from scalebend.soak.layout import build_layout
@@ -23,7 +23,7 @@
 
 
 @given(st.integers(0, 10_000))
-def test_disks_are_lost_one_after_the_other(seed):
+def test_disk_losses_leave_time_for_recovery(seed):
     schedule = build_schedule(seed, 300.0, LAYOUT)
     lost = [
         scheduled.at
@@ -31,20 +31,20 @@
         if isinstance(scheduled.fault, Kill) and scheduled.fault.loses_disk
     ]
     for earlier, later in zip(lost, lost[1:], strict=False):
-        assert later - earlier > DISK_RECOVERY
+        assert later - earlier > DISK_RECOVERY_S
 
 
 @given(st.integers(0, 10_000))
-def test_each_series_is_followed_by_a_calm_with_planned_work(seed):
+def test_each_series_is_followed_by_a_calm_period_with_planned_work(seed):
     schedule = build_schedule(seed, 120.0, LAYOUT)
-    period = SERIES_LENGTH + CALM
-    begins = FIRST_AT
+    period = SERIES_DURATION_S + CALM_S
+    begins = FIRST_SERIES_AT_S
     while begins < 120.0:
-        quiet = [
+        calm_faults = [
             scheduled
             for scheduled in schedule.faults
-            if begins + SERIES_LENGTH < scheduled.at < begins + period
+            if begins + SERIES_DURATION_S < scheduled.at < begins + period
         ]
-        assert {type(scheduled.fault) for scheduled in quiet} == {Leave, Change}
+        assert {type(scheduled.fault) for scheduled in calm_faults} == {Drain, Change}
         begins += period
     assert schedule.ends == begins
--- a/tests/unit/soak/test_misbehaving.py
+++ b/tests/unit/soak/test_misbehaving.py
@@ -1,4 +1,4 @@
-"""The clock and the disk of the soak's processes."""
+"""Faults injected into the clock and the disk of a process."""
 
 import errno
 import json
@@ -6,7 +6,7 @@
 import sys
 
 from scalebend.soak.faults import DiskMode
-from scalebend.soak.misbehaving import Orders, read_synced, write_orders
+from scalebend.soak.misbehaving import ProcessFaults, read_synced, write_process_faults
 
 SCRIPT = """
 import os, sys, time
@@ -31,19 +31,19 @@
     return json.loads(subprocess.run(command, capture_output=True, check=True).stdout)
 
 
-def test_sound_process_notes_what_it_synced(tmp_path):
+def test_healthy_process_records_synced_sizes(tmp_path):
     file = tmp_path / "file"
-    told = run_script(tmp_path, file)
-    assert abs(told["ahead"]) < 2.0
-    assert told["failed"] == 0
+    result = run_script(tmp_path, file)
+    assert abs(result["ahead"]) < 2.0
+    assert result["failed"] == 0
     assert read_synced(tmp_path) == {str(file): len(b"synced")}
 
 
-def test_orders_are_followed(tmp_path):
-    write_orders(tmp_path, Orders(clock_step=50.0, disk=DiskMode.FULL))
-    told = run_script(tmp_path, tmp_path / "file")
-    assert told["ahead"] > 49.0
-    assert told["failed"] == errno.ENOSPC
+def test_clock_and_disk_faults_are_applied(tmp_path):
+    write_process_faults(tmp_path, ProcessFaults(clock_step=50.0, disk=DiskMode.FULL))
+    result = run_script(tmp_path, tmp_path / "file")
+    assert result["ahead"] > 49.0
+    assert result["failed"] == errno.ENOSPC
     assert read_synced(tmp_path) == {}
 
 
--- a/tests/unit/soak/test_promises.py
+++ b/tests/unit/soak/test_promises.py
@@ -1,4 +1,4 @@
-"""Each promise of the soak is seen to be broken, and kept runs pass."""
+"""Checks of the promises: each violation is reported, and correct runs have none."""
 
 import math
 
@@ -8,21 +8,21 @@
 from scalebend.soak.deployment import BOUNDS
 from scalebend.soak.layout import ProcessName
 from scalebend.soak.observations import (
-    Accepted,
-    Answered,
-    Arrived,
-    Asked,
-    Departed,
+    AcceptedDocument,
+    Arrival,
+    CallerRequest,
     Disturbance,
+    DrainAcknowledgement,
+    DrainNotice,
+    Execution,
     Exit,
-    Farewell,
-    Kind,
-    Limited,
     Observations,
-    Ran,
-    Read,
-    Ticket,
-    TurnedAway,
+    RateLimitPeriod,
+    ReadBack,
+    Rejection,
+    RequestKind,
+    Reservation,
+    SentResponse,
 )
 from scalebend.soak.promises import check_promises
 
@@ -30,121 +30,127 @@
 UPSTREAM = UpstreamId("i-1")
 
 
-def build_asked(request="r-1", kind=Kind.REPEATABLE, sent_at=100.0, **changes):
-    asked = Asked(request, kind, FRONT, 1, RoutingVersion(0), sent_at, 3.0, 0)
-    asked.ended_at = sent_at + 0.1
-    asked.status = 200
-    asked.seal = f"{UPSTREAM}/{request}"
+def build_call(request_id="r-1", kind=RequestKind.IDEMPOTENT, sent_at=100.0, **changes):
+    call = CallerRequest(request_id, kind, FRONT, 1, RoutingVersion(0), sent_at, 3.0, 0)
+    call.ended_at = sent_at + 0.1
+    call.status = 200
+    call.seal = f"{UPSTREAM}/{request_id}"
     for name, value in changes.items():
-        setattr(asked, name, value)
-    return asked
+        setattr(call, name, value)
+    return call
 
 
-def build_ran(request="r-1", at=100.05, version=1, upstream=UPSTREAM):
-    return Ran(request, upstream, at, RoutingVersion(version), False)
+def build_execution(request_id="r-1", at=100.05, version=1, upstream=UPSTREAM):
+    return Execution(request_id, upstream, at, RoutingVersion(version), False)
 
 
-def build_seen():
-    """A run in which everything was kept."""
-    seen = Observations(load_ended_at=200.0, ended_at=220.0)
-    seen.accepted.append(Accepted(RoutingVersion(1), 10.0, ()))
-    seen.asked["r-1"] = build_asked()
-    seen.ran.append(build_ran())
-    seen.arrived.append(Arrived("r-1", ServiceName("plain"), 100.05, UPSTREAM))
-    seen.answered.append(Answered("r-1", 200))
-    seen.reads.append(Read(RoutingVersion(1), 210.0, True))
-    return seen
+def build_observations():
+    """Build the observations of a run without violations."""
+    observations = Observations(load_ended_at=200.0, ended_at=220.0)
+    observations.accepted.append(AcceptedDocument(RoutingVersion(1), 10.0, ()))
+    observations.caller_requests["r-1"] = build_call()
+    observations.executions.append(build_execution())
+    observations.arrivals.append(Arrival("r-1", ServiceName("plain"), 100.05, UPSTREAM))
+    observations.sent_responses.append(SentResponse("r-1", 200))
+    observations.reads.append(ReadBack(RoutingVersion(1), 210.0, True))
+    return observations
 
 
-def list_broken(seen):
-    return {violation.promise for violation in check_promises(seen)}
+def list_broken(observations):
+    return {violation.promise for violation in check_promises(observations)}
 
 
-def test_kept_run_has_no_violations():
-    assert list_broken(build_seen()) == set()
+def test_correct_run_has_no_violations():
+    assert list_broken(build_observations()) == set()
 
 
-def break_whole_answers(seen):
-    seen.asked["r-1"].fault = "body of 3 bytes"
+def break_whole_answers(observations):
+    observations.caller_requests["r-1"].mismatch = "body of 3 bytes"
 
 
-def break_own_status(seen):
-    seen.asked["r-1"].status = 500
+def break_own_status(observations):
+    observations.caller_requests["r-1"].status = 500
 
 
-def break_unasked(seen):
-    seen.ran.append(build_ran("r-2"))
+def break_unasked(observations):
+    observations.executions.append(build_execution("r-2"))
 
 
-def break_at_most_once(seen):
-    seen.asked["r-1"].kind = Kind.ONCE
-    seen.ran.append(build_ran(upstream=UpstreamId("i-2")))
+def break_at_most_once(observations):
+    observations.caller_requests["r-1"].kind = RequestKind.NON_IDEMPOTENT
+    observations.executions.append(build_execution(upstream=UpstreamId("i-2")))
 
 
-def break_refused_did_not_run(seen):
-    seen.asked["r-1"].status = 503
-    seen.asked["r-1"].seal = None
+def break_refused_did_not_run(observations):
+    observations.caller_requests["r-1"].status = 503
+    observations.caller_requests["r-1"].seal = None
 
 
-def break_not_denied(seen):
-    seen.asked["r-1"].status = 401
-    seen.asked["r-1"].seal = None
+def break_not_denied(observations):
+    observations.caller_requests["r-1"].status = 401
+    observations.caller_requests["r-1"].seal = None
 
 
-def break_revoked(seen):
+def break_revoked(observations):
     at = 99.0 - BOUNDS.key_revocation
-    seen.accepted.append(Accepted(RoutingVersion(2), at, (RoutingVersion(1),)))
-    seen.asked["r-1"].version = RoutingVersion(1)
+    observations.accepted.append(
+        AcceptedDocument(RoutingVersion(2), at, (RoutingVersion(1),))
+    )
+    observations.caller_requests["r-1"].version = RoutingVersion(1)
 
 
-def break_no_way_back(seen):
-    seen.asked["r-2"] = build_asked("r-2", sent_at=110.0)
-    seen.ran.insert(0, build_ran(at=99.0, version=2))
-    seen.ran.append(build_ran("r-2", 110.0, 1))
+def break_no_way_back(observations):
+    observations.caller_requests["r-2"] = build_call("r-2", sent_at=110.0)
+    observations.executions.insert(0, build_execution(at=99.0, version=2))
+    observations.executions.append(build_execution("r-2", 110.0, 1))
 
 
-def break_read_back(seen):
-    seen.accepted.append(Accepted(RoutingVersion(5), 50.0, ()))
-    seen.reads.insert(0, Read(RoutingVersion(1), 60.0, True))
+def break_read_back(observations):
+    observations.accepted.append(AcceptedDocument(RoutingVersion(5), 50.0, ()))
+    observations.reads.insert(0, ReadBack(RoutingVersion(1), 60.0, True))
 
 
-def break_nothing_lost(seen):
-    seen.accepted.append(Accepted(RoutingVersion(5), 209.9, ()))
+def break_nothing_lost(observations):
+    observations.accepted.append(AcceptedDocument(RoutingVersion(5), 209.9, ()))
 
 
-def break_memory(seen):
-    seen.tickets.append(Ticket(UPSTREAM, "t", 10.0, 30.0, 12.0))
+def break_memory(observations):
+    observations.reservations.append(Reservation(UPSTREAM, "t", 10.0, 30.0, 12.0))
 
 
-def break_retry_budget(seen):
+def break_retry_budget(observations):
     for _ in range(40):
-        seen.arrived.append(Arrived("r-1", ServiceName("plain"), 100.06, UPSTREAM))
+        observations.arrivals.append(
+            Arrival("r-1", ServiceName("plain"), 100.06, UPSTREAM)
+        )
 
 
-def break_exits(seen):
-    seen.exits.append(Exit(FRONT, 20.0, 1))
+def break_exits(observations):
+    observations.exits.append(Exit(FRONT, 20.0, 1))
 
 
-def break_calm_service(seen):
-    seen.asked["r-1"].status = None
+def break_calm_service(observations):
+    observations.caller_requests["r-1"].status = None
 
 
-def break_in_time(seen):
-    seen.asked["r-1"].ended_at = 105.0
+def break_in_time(observations):
+    observations.caller_requests["r-1"].ended_at = 105.0
 
 
-def break_in_force(seen):
-    seen.accepted.append(Accepted(RoutingVersion(4), 90.0, ()))
-    seen.reads[-1] = Read(RoutingVersion(4), 210.0, True)
+def break_in_force(observations):
+    observations.accepted.append(AcceptedDocument(RoutingVersion(4), 90.0, ()))
+    observations.reads[-1] = ReadBack(RoutingVersion(4), 210.0, True)
 
 
-def break_drained(seen):
-    seen.departed.append(Departed(UPSTREAM, ProcessName("control-0"), 95.0))
+def break_drained(observations):
+    observations.drain_acknowledgements.append(
+        DrainAcknowledgement(UPSTREAM, ProcessName("control-0"), 95.0)
+    )
 
 
-def break_planned_stop(seen):
-    seen.stops.append(Disturbance(FRONT, 100.02, 103.0))
-    seen.asked["r-1"].status = None
+def break_planned_stop(observations):
+    observations.stops.append(Disturbance(FRONT, 100.02, 103.0))
+    observations.caller_requests["r-1"].status = None
 
 
 @pytest.mark.parametrize(
@@ -170,79 +176,89 @@
         break_planned_stop,
     ],
 )
-def test_broken_promise_is_seen(break_promise):
-    seen = build_seen()
-    break_promise(seen)
-    assert break_promise.__name__.removeprefix("break_") in list_broken(seen)
+def test_broken_promise_is_reported(break_promise):
+    observations = build_observations()
+    break_promise(observations)
+    assert break_promise.__name__.removeprefix("break_") in list_broken(observations)
 
 
 @pytest.mark.parametrize(
     "break_promise", [break_calm_service, break_in_time, break_in_force, break_drained]
 )
-def test_promises_of_calm_are_not_asked_of_the_disturbed(break_promise):
-    seen = build_seen()
-    break_promise(seen)
-    seen.disturbances.append(Disturbance(ProcessName("control-1"), 80.0, math.inf))
-    assert break_promise.__name__.removeprefix("break_") not in list_broken(seen)
-
-
-def arrive(seen, at, front=FRONT):
-    request = f"limited-{len(seen.arrived)}"
-    seen.asked[request] = build_asked(request, sent_at=at, front=front)
-    seen.ran.append(build_ran(request, at))
-    seen.answered.append(Answered(request, 200))
-    seen.arrived.append(Arrived(request, ServiceName("plain"), at, UPSTREAM))
-
-
-def test_requests_beyond_what_a_replica_takes_are_seen():
-    seen = build_seen()
-    seen.limited.append(Limited(UPSTREAM, 1.0, 110.0, 120.0))
+def test_promises_of_calm_periods_do_not_apply_during_a_fault(break_promise):
+    observations = build_observations()
+    break_promise(observations)
+    observations.disturbances.append(
+        Disturbance(ProcessName("control-1"), 80.0, math.inf)
+    )
+    assert break_promise.__name__.removeprefix("break_") not in list_broken(
+        observations
+    )
+
+
+def arrive(observations, at, front=FRONT):
+    request_id = f"limited-{len(observations.arrivals)}"
+    observations.caller_requests[request_id] = build_call(
+        request_id, sent_at=at, front=front
+    )
+    observations.executions.append(build_execution(request_id, at))
+    observations.sent_responses.append(SentResponse(request_id, 200))
+    observations.arrivals.append(
+        Arrival(request_id, ServiceName("plain"), at, UPSTREAM)
+    )
+
+
+def test_requests_beyond_a_rate_limit_are_reported():
+    observations = build_observations()
+    observations.rate_limit_periods.append(RateLimitPeriod(UPSTREAM, 1.0, 110.0, 120.0))
     fronts = [ProcessName(f"front-{number}") for number in range(3)]
-    # Before they know, and before the limit, fronts may send what they like.
+    # Requests before the limit, or before fronts know it, do not count.
     for step in range(30):
-        arrive(seen, 109.0 + step / 30)
+        arrive(observations, 109.0 + step / 30)
     for front in fronts:
         for step in range(10):
-            arrive(seen, 110.0 + step / 20, front)
-    assert list_broken(seen) == set()
-    # Each alone keeps to it: 4 requests in 4 s. Together they do not.
+            arrive(observations, 110.0 + step / 20, front)
+    assert list_broken(observations) == set()
+    # Each front alone respects the limit; all together exceed it.
     for front in fronts:
         for step in range(4):
-            arrive(seen, 112.0 + step, front)
-    assert list_broken(seen) == {"request_limits"}
-    seen.limited[0].rate = 2.0
-    assert list_broken(seen) == set()
+            arrive(observations, 112.0 + step, front)
+    assert list_broken(observations) == {"request_limits"}
+    observations.rate_limit_periods[0].rate = 2.0
+    assert list_broken(observations) == set()
 
 
-def turn_away(seen, at, pause=3.0):
-    request = f"refused-{len(seen.turned_away)}"
-    seen.asked[request] = build_asked(request, sent_at=at, status=503, seal=None)
-    seen.turned_away.append(TurnedAway(request, UPSTREAM, at, pause))
+def reject(observations, at, backoff=3.0):
+    request_id = f"refused-{len(observations.rejections)}"
+    observations.caller_requests[request_id] = build_call(
+        request_id, sent_at=at, status=503, seal=None
+    )
+    observations.rejections.append(Rejection(request_id, UPSTREAM, at, backoff))
 
 
-def test_requests_within_a_pause_are_seen():
-    seen = build_seen()
-    turn_away(seen, 110.0)
-    # Under way, before the word was there; two are tolerated; after the pause.
+def test_requests_within_a_backoff_are_reported():
+    observations = build_observations()
+    reject(observations, 110.0)
+    # In flight at the rejection; two tolerated ones; after the backoff.
     for at in (110.1, 110.2, 110.3, 111.0, 112.0, 113.1, 113.2, 113.3):
-        arrive(seen, at)
+        arrive(observations, at)
     for at in (111.0, 111.1, 111.2):
-        arrive(seen, at, ProcessName("front-1"))
-    assert list_broken(seen) == set()
-    arrive(seen, 112.9)
-    assert list_broken(seen) == {"pauses"}
-    seen.disturbances.append(Disturbance(FRONT, 110.5, 110.8))
-    assert list_broken(seen) == set()
-
-
-def test_requests_after_a_farewell_are_seen():
-    seen = build_seen()
-    arrive(seen, 110.0)
-    seen.farewells.append(Farewell("limited-1", UPSTREAM, 110.0))
-    arrive(seen, 112.0)
-    arrive(seen, 114.0, ProcessName("front-1"))
-    assert list_broken(seen) == set()
-    arrive(seen, 114.0)
-    assert list_broken(seen) == {"farewells"}
-    seen.disturbances.append(Disturbance(FRONT, 113.0, 113.5))
-    assert list_broken(seen) == set()
+        arrive(observations, at, ProcessName("front-1"))
+    assert list_broken(observations) == set()
+    arrive(observations, 112.9)
+    assert list_broken(observations) == {"pauses"}
+    observations.disturbances.append(Disturbance(FRONT, 110.5, 110.8))
+    assert list_broken(observations) == set()
+
+
+def test_requests_after_a_drain_notice_are_reported():
+    observations = build_observations()
+    arrive(observations, 110.0)
+    observations.drain_notices.append(DrainNotice("limited-1", UPSTREAM, 110.0))
+    arrive(observations, 112.0)
+    arrive(observations, 114.0, ProcessName("front-1"))
+    assert list_broken(observations) == set()
+    arrive(observations, 114.0)
+    assert list_broken(observations) == {"farewells"}
+    observations.disturbances.append(Disturbance(FRONT, 113.0, 113.5))
+    assert list_broken(observations) == set()
