--- a/src/scalebend/soak/promises.py
+++ b/src/scalebend/soak/promises.py
@@ -251,8 +251,9 @@
         else:
             spare = reservation.until - reservation.since - IDLE_RESERVATION_S
         if spare > CLOCK_MARGIN_S:
-            place = f"{reservation.name} at {reservation.upstream}"
-            yield f"{place}, {spare:.1f} s too long"
+            yield (
+                f"{reservation.name} at {reservation.upstream}, {spare:.1f} s too long"
+            )
 
 
 def _check_retry_budget(evidence: Evidence) -> Iterator[str]:
@@ -433,8 +434,10 @@
         ):
             continue
         if evidence.is_calm(acknowledged.at, run.at):
-            delay = run.at - acknowledged.at
-            yield f"{run.request_id} reached {run.upstream} {delay:.2f} s after"
+            yield (
+                f"{run.request_id} reached {run.upstream} "
+                f"{run.at - acknowledged.at:.2f} s after"
+            )
 
 
 def _check_planned_stop(evidence: Evidence) -> Iterator[str]:
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -310,21 +310,21 @@
         for name, reservation in list(self._reservations.items()):
             if reservation.until <= now:
                 del self._reservations[name]
-        known = self._reservations.get(order.ticket)
+        known = self._reservations.get(order.reservation)
         if order.tokens == 0:
             if known is not None:
                 known.until = now
-                del self._reservations[order.ticket]
+                del self._reservations[order.reservation]
             return web.json_response({})
         used = sum(self._memory[name] for name in self._reservations)
         if known is None and used + order.tokens > ENGINE.memory_tokens:
             return web.json_response({}, status=409)
         if known is None:
-            known = Reservation(self._id, order.ticket, now, now, now)
-            self._reservations[order.ticket] = known
-            self._memory[order.ticket] = order.tokens
+            known = Reservation(self._id, order.reservation, now, now, now)
+            self._reservations[order.reservation] = known
+            self._memory[order.reservation] = order.tokens
             self._fleet.observations.reservations.append(known)
-        known.until = now + order.hold
+        known.until = now + order.lifetime_s
         return web.json_response({})
 
     async def limit_rate(self, rate: float, lasts: float) -> None:
--- a/src/scalebend/soak/runner.py
+++ b/src/scalebend/soak/runner.py
@@ -38,7 +38,7 @@
 
 
 class SoakOptions(msgspec.Struct, frozen=True):
-    """Options of one run; ``length`` is the duration of the faults in seconds."""
+    """Options of one run; ``length`` is the approximate load in seconds."""
 
     seed: int
     length: float
