--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -33,7 +33,7 @@
     StartAttempt,
     ToOwner,
 )
-from scalebend.core.placement import MOST_GROUP, Placement
+from scalebend.core.placement import MAX_GROUP_REPLICAS, Placement
 from scalebend.core.queueing import FirstCome, Strategy, compute_size_class
 from scalebend.core.retries import RetryBudget, compute_delay
 from scalebend.exceptions import (
@@ -140,7 +140,7 @@
         if flow.state is FlowState.TRANSFERRING:
             return self._start_decode(flow)
         attempt.state = AttemptState.GRANTED
-        if flow.request.repeatable or flow.is_claimed:
+        if flow.request.is_idempotent or flow.is_claimed:
             return self._start(flow, now)
         flow.state = FlowState.CLAIMING
         return [ClaimKey(flow.request.request)]
@@ -470,7 +470,7 @@
         flow.last_error = error
         flow.excluded.add(attempt.lead)
         actions = self._release_attempt(flow, outcome)
-        is_safe = attempt.never_started or flow.request.repeatable
+        is_safe = attempt.never_started or flow.request.is_idempotent
         if not is_safe or flow.has_delivered:
             return actions + self._conclude(flow, error)
         if not self._retry_budget.spend():
@@ -502,7 +502,8 @@
             )
         elif serving and request.model is not None:
             error = RefusedError(
-                f"{request.memory_tokens} tokens do not fit into {MOST_GROUP} engines",
+                f"{request.memory_tokens} tokens do not fit into "
+                f"{MAX_GROUP_REPLICAS} engines",
                 kind=ErrorKind.PROMPT_TOO_LONG,
             )
         else:
@@ -574,6 +575,6 @@
 _REFUSAL_KINDS = {
     RefusalReason.TOO_LARGE: ErrorKind.PROMPT_TOO_LONG,
     RefusalReason.TOO_LATE: ErrorKind.OVERLOADED,
-    RefusalReason.LEAVING: ErrorKind.NO_UPSTREAM,
+    RefusalReason.DRAINING: ErrorKind.NO_UPSTREAM,
     RefusalReason.NOT_OWNER: ErrorKind.NO_UPSTREAM,
 }
--- a/src/scalebend/core/upstream_updates.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -100,7 +100,7 @@
         return self._remove(upstream, now)
 
     def _apply_cache_event(self, upstream: UpstreamId, event: CacheEvent) -> None:
-        self._entry.placement.prefixes.take_event(upstream, event)
+        self._entry.placement.prefixes.apply_event(upstream, event)
         if len(event.stored) + len(event.evicted) <= MAX_CACHE_EVENT_HASHES:
             subject = f"c/{upstream}/{event.sequence}"
             rumor = CacheRumor(upstream, event)
@@ -144,14 +144,14 @@
             case DigestRumor():
                 self._apply_digest_rumor(rumor)
             case CacheRumor(upstream, event):
-                self._entry.placement.prefixes.take_event(upstream, event)
+                self._entry.placement.prefixes.apply_event(upstream, event)
             case CrashRumor(record):
                 self._apply_crash(record, now)
         return []
 
     def _apply_crash(self, record: CrashRecord, now: float) -> None:
         """Merge the crash record of another instance, and forward what is new."""
-        if not record.ended:
+        if not record.upstreams:
             if self._entry.crashes.ledger.clear([record.fingerprint]):
                 self._spread_crash(record)
             return
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -34,9 +34,9 @@
 from scalebend.edges.gateway.links import HEARTBEAT_INTERVAL_S, Dialer
 from scalebend.edges.gateway.metrics import GatewayMetrics
 from scalebend.edges.gateway.running_attempts import RunningAttempts
-from scalebend.models.calls import LoadReading
+from scalebend.models.calls import ReportedLoad
 from scalebend.models.gateway_settings import GatewaySettings
-from scalebend.models.ids import Fingerprint, InstanceId, SendId, UpstreamId
+from scalebend.models.ids import Fingerprint, InstanceId, SendPermitId, UpstreamId
 from scalebend.models.placement import (
     Decision,
     Declined,
@@ -46,7 +46,7 @@
     Placement,
     build_job_id,
 )
-from scalebend.models.request_limits import HeardLimit
+from scalebend.models.rate_limits import ObservedLimit
 
 if TYPE_CHECKING:
     from scalebend.edges.gateway.inspection import Inspector
@@ -280,7 +280,7 @@
         Without a reply, grant it from the share of this front and report the send.
         """
         self._sends += 1
-        request = SendPermitRequest(SendId(self._sends), upstreams, timeout_s)
+        request = SendPermitRequest(SendPermitId(self._sends), upstreams, timeout_s)
         reply = await self._leader_calls.request_send_permit(
             self.instance.leader, request
         )
@@ -291,7 +291,7 @@
             self._execute(self.instance.record_uncoordinated_send(grant.upstream))
         return grant
 
-    def record_first_token(self, job: JobId, load: LoadReading | None) -> None:
+    def record_first_token(self, job: JobId, load: ReportedLoad | None) -> None:
         """Record the first event of a job, and the load that the replica reported."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
@@ -319,7 +319,7 @@
             return False
         return self._inspector.is_queueing(upstream, self.now())
 
-    def record_limit(self, observed: HeardLimit) -> None:
+    def record_limit(self, observed: ObservedLimit) -> None:
         """Record the rate limit, or its absence, that a response named."""
         self._execute(self.instance.record_limit(observed, self.now()))
 
--- a/src/scalebend/edges/gateway/reservations.py
+++ b/src/scalebend/edges/gateway/reservations.py
@@ -95,7 +95,7 @@
 async def _reserve(
     runtime: FrontRuntime, work: EngineWork, helper: Helper
 ) -> int | None:
-    life_s = min(RESERVATION_LIFE_S, runtime.settings.bounds.hold_most)
+    life_s = min(RESERVATION_LIFE_S, runtime.settings.bounds.max_reservation_s)
     body = encode_reservation(work.job, helper.tokens, life_s)
     status = await _send_order(runtime, helper, body)
     logger.info(
--- a/src/scalebend/platform/headers.py
+++ b/src/scalebend/platform/headers.py
@@ -7,16 +7,16 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from scalebend.models.calls import (
-    AnswerHeaders,
     Call,
     CallerHeaders,
-    LoadReading,
     PromptSize,
+    ReportedLoad,
+    ResponseHeaders,
 )
 from scalebend.models.endpoints import get_upstream_name
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED
-from scalebend.utils.decimals import read_decimal
+from scalebend.models.rate_limits import UNLIMITED
+from scalebend.utils.decimals import parse_decimal
 
 REQUEST_ID = "X-Request-Id"
 DEADLINE = "X-Deadline-Ms"
@@ -162,7 +162,7 @@
     if call.key is not None:
         headers["Authorization"] = f"Bearer {call.key}"
     if call.prompt is not None:
-        headers[_TOKENS] = f"{call.prompt.prompt},{call.prompt.output_most}"
+        headers[_TOKENS] = f"{call.prompt.prompt},{call.prompt.max_output_tokens}"
     if resume_after is not None:
         headers[LAST_EVENT] = str(resume_after)
     return headers
@@ -173,7 +173,7 @@
     seal: str | None,
     *,
     has_not_run: bool = False,
-    request_limit: float | None = None,
+    rate_limit: float | None = None,
     backoff: float | None = None,
     is_draining: bool = False,
 ) -> CIMultiDict[str]:
@@ -183,8 +183,8 @@
         headers[SEAL] = seal
     if has_not_run:
         headers[_NOT_EXECUTED] = "true"
-    if request_limit is not None:
-        headers[_RATE_LIMIT] = f"{request_limit:g}"
+    if rate_limit is not None:
+        headers[_RATE_LIMIT] = f"{rate_limit:g}"
     if backoff is not None:
         headers[_RETRY_AFTER] = f"{backoff:g}"
     if is_draining:
@@ -192,23 +192,23 @@
     return headers
 
 
-def read_answer_headers(status: int, headers: Mapping[str, str]) -> AnswerHeaders:
+def read_answer_headers(status: int, headers: Mapping[str, str]) -> ResponseHeaders:
     """Decode the headers of an upstream's response."""
     # 421 (Misdirected Request): the address now belongs to another upstream, which did
     # not run the request.
     is_misdirected = status == 421
     backoff = headers.get(_RETRY_AFTER) if status == 503 else None
-    seconds = read_decimal(backoff)
-    return AnswerHeaders(
+    seconds = parse_decimal(backoff)
+    return ResponseHeaders(
         request=headers.get(REQUEST_ID),
         has_not_run=is_misdirected or _NOT_EXECUTED in headers,
         load=_read_load(headers.get(_LOAD)),
         faulty_address=headers.get(_FAULTY_ADDRESS),
-        request_limit=None if is_misdirected else _read_rate_limit(headers),
+        rate_limit=None if is_misdirected else _read_rate_limit(headers),
         backoff=seconds,
         has_unreadable_backoff=backoff is not None and seconds is None,
         is_draining=not is_misdirected and headers.get(_DRAINING) == "1",
-        unknown_words=tuple(filter(_is_unknown_header, headers)),
+        unknown_headers=tuple(filter(_is_unknown_header, headers)),
     )
 
 
@@ -226,19 +226,19 @@
     return f"{seconds:.3f}"
 
 
-def _read_load(text: str | None) -> LoadReading | None:
+def _read_load(text: str | None) -> ReportedLoad | None:
     if text is None:
         return None
     parts = text.split(",")
     if len(parts) != 3 or not all(_is_count(part) for part in parts):
         return None
     running, waiting, slots = (int(part) for part in parts)
-    return LoadReading(running, waiting, slots) if slots else None
+    return ReportedLoad(running, waiting, slots) if slots else None
 
 
 def _read_rate_limit(headers: Mapping[str, str]) -> float | None:
     text = headers.get(_RATE_LIMIT)
-    return UNLIMITED if text is None else read_decimal(text)
+    return UNLIMITED if text is None else parse_decimal(text)
 
 
 def _is_unknown_header(name: str) -> bool:
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -127,7 +127,7 @@
         self.address = address
         self.proxy: Proxy | None = None
         self.mode = ReplicaMode.HEALTHY
-        self.request_limit: float | None = None
+        self.rate_limit: float | None = None
         """Announced rate limit in requests per second."""
 
         self.backoff: float | None = None
@@ -207,7 +207,7 @@
             request_id,
             None,
             has_not_run=True,
-            request_limit=self.request_limit,
+            rate_limit=self.rate_limit,
             backoff=backoff,
             is_draining=self._announces_drain,
         )
@@ -223,7 +223,7 @@
         headers = build_answer_headers(
             response_id,
             seal,
-            request_limit=self.request_limit,
+            rate_limit=self.rate_limit,
             is_draining=self._announces_drain,
         )
         if self._announces_drain:
@@ -332,10 +332,10 @@
         now = asyncio.get_running_loop().time
         period = RateLimitPeriod(self._id, rate, now(), now() + lasts)
         self._fleet.observations.rate_limit_periods.append(period)
-        self.request_limit = rate
+        self.rate_limit = rate
         await self._wait_in_incarnation(lasts)
         period.until = now()
-        self.request_limit = None
+        self.rate_limit = None
 
     async def reject_requests(self, backoff: float, lasts: float) -> None:
         """Reject all requests for ``lasts`` seconds or until the incarnation ends."""
