--- a/src/scalebend/core/crash_ledger.py
+++ b/src/scalebend/core/crash_ledger.py
@@ -30,7 +30,7 @@
 unrelated requests when a large share of a service crashes within seconds."""
 
 FIRST_QUARANTINE_S = 600.0
-LONGEST_QUARANTINE_S = 86_400.0
+MAX_QUARANTINE_S = 86_400.0
 """Length of a quarantine, which doubles with each further crash up to the longest. It
 ends by itself, so that a repaired upstream gets the request without an operator."""
 
@@ -69,7 +69,7 @@
         beyond = len(self.crashed) - CRASHES_UNTIL_QUARANTINE
         if beyond >= 0:
             self.quarantined_until = now + min(
-                LONGEST_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0**beyond
+                MAX_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0**beyond
             )
         return True
 
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -35,7 +35,7 @@
 
 logger = structlog.get_logger(__name__)
 
-UPDATE_PERIOD_S = 0.05
+UPDATE_INTERVAL_S = 0.05
 """Least time between two updates to all fronts: when a whole service becomes
 overloaded, hundreds of responses say so at almost the same time."""
 
@@ -147,7 +147,7 @@
         is_due = self._changed or (self._has_new_positions and self.has_limits)
         if not is_due or now < self._send_at:
             return []
-        self._send_at = now + UPDATE_PERIOD_S
+        self._send_at = now + UPDATE_INTERVAL_S
         actions = self._send_positions() if self._has_new_positions else []
         if self._changed:
             # One message object for all fronts, so that it is encoded once.
--- a/src/scalebend/core/gateway/limited_placement.py
+++ b/src/scalebend/core/gateway/limited_placement.py
@@ -16,7 +16,7 @@
     compute_prefill_time,
 )
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
-from scalebend.core.gateway.placement_aging import REPLAN_PERIOD_S
+from scalebend.core.gateway.placement_aging import REPLAN_INTERVAL_S
 from scalebend.core.gateway.timeouts import ROOM_WAIT_SHARE
 from scalebend.core.send_budget import SendBudget
 from scalebend.models.endpoints import Endpoint
@@ -24,7 +24,7 @@
 from scalebend.models.placement import Declined, EngineWork, JobId, Placement
 from scalebend.models.routing import EngineProfile
 
-MAX_WAIT_S = REPLAN_PERIOD_S
+MAX_WAIT_S = REPLAN_INTERVAL_S
 """Longest wait of a prompt for a send permit: after the replan period it would be
 placed anew and lose its position to later ones."""
 
--- a/src/scalebend/core/gateway/placement_aging.py
+++ b/src/scalebend/core/gateway/placement_aging.py
@@ -10,7 +10,7 @@
 
 from scalebend.models.placement import EngineWork, Placement
 
-REPLAN_PERIOD_S = 0.15
+REPLAN_INTERVAL_S = 0.15
 """Time between two placements of a queued prompt: short against the target of a long
 prompt, and few messages for each queued one."""
 
--- a/src/scalebend/core/gateway/replica_load.py
+++ b/src/scalebend/core/gateway/replica_load.py
@@ -19,11 +19,11 @@
 from scalebend.models.placement import BusyReplica, EngineWork, JobId
 from scalebend.models.routing import EngineProfile
 
-UNKNOWN_JOBS_TTL_S = 2.0
+UNKNOWN_JOBS_LIFETIME_S = 2.0
 """Time for which jobs of other schedulers count after a replica reported them: about
 the duration of a quick response."""
 
-REPORTED_LOAD_TTL_S = 2.0
+REPORTED_LOAD_LIFETIME_S = 2.0
 """Time for which load reported by a lost leader counts: about the duration of a quick
 response."""
 
@@ -37,7 +37,7 @@
 UNHEALTHY_PACE = 1.5
 """Pace from which on a replica counts as unhealthy."""
 
-PACE_TTL_S = 4.0
+PACE_LIFETIME_S = 4.0
 """Time for which a reported pace counts; then the replica is used again."""
 
 
@@ -123,7 +123,7 @@
         """
         known = sum(part.is_lead for part in self.parts.values())
         self.unknown_jobs = max(0, load - known)
-        self.unknown_until = now + UNKNOWN_JOBS_TTL_S
+        self.unknown_until = now + UNKNOWN_JOBS_LIFETIME_S
 
     def record_failure(self, now: float) -> None:
         """Record that the replica could not be reached or was unresponsive."""
@@ -136,7 +136,7 @@
     def record_pace(self, pace: float, now: float) -> None:
         """Record the pace that the replica reported."""
         self.pace = pace
-        self.pace_until = now + PACE_TTL_S
+        self.pace_until = now + PACE_LIFETIME_S
 
     def build_view(
         self, endpoint: Endpoint, rank: int, profile: EngineProfile, now: float
@@ -202,7 +202,9 @@
         if reported is not None:
             # Jobs have ended since the report: count them down over its lifetime.
             age = now - self.reported_at
-            reported_jobs = int(reported.decoding * (1.0 - age / REPORTED_LOAD_TTL_S))
+            reported_jobs = int(
+                reported.decoding * (1.0 - age / REPORTED_LOAD_LIFETIME_S)
+            )
             reported_event_gap = reported.event_gap
         return Occupancy(
             tuple(event_gaps),
@@ -220,12 +222,16 @@
         return known + [0] * occupancy.unknown_jobs
 
     def _find_reported(self, now: float) -> BusyReplica | None:
-        return self.reported if now - self.reported_at <= REPORTED_LOAD_TTL_S else None
+        return (
+            self.reported
+            if now - self.reported_at <= REPORTED_LOAD_LIFETIME_S
+            else None
+        )
 
     def _find_next_change(self, now: float) -> float:
         """Find when the view changes through time alone, apart from its prefill."""
         times = [self.avoid_until, self.pace_until, self.unknown_until]
         if self.reported is not None:
-            times.append(self.reported_at + REPORTED_LOAD_TTL_S)
+            times.append(self.reported_at + REPORTED_LOAD_LIFETIME_S)
         times += [part.prefill_until for part in self.parts.values()]
         return min((time for time in times if time >= now), default=math.inf)
--- a/src/scalebend/core/gateway/retry_window.py
+++ b/src/scalebend/core/gateway/retry_window.py
@@ -18,7 +18,7 @@
 """Share of the budget that is used: a restarted front has forgotten what it spent, and
 a new front is counted late by the others."""
 
-FRONT_COUNT_LIFE_S = 30.0
+FRONT_COUNT_LIFETIME_S = 30.0
 """Time for which the largest reported number of fronts counts: a control instance that
 has just started learns of them one by one."""
 
@@ -51,7 +51,7 @@
         """Set how many fronts share the fixed allowance."""
         if math.isinf(self._allowance_from):
             self._allowance_from = now + SETTLE_TIME_S
-        is_expired = now - self._fronts_at > FRONT_COUNT_LIFE_S
+        is_expired = now - self._fronts_at > FRONT_COUNT_LIFETIME_S
         if count >= self._fronts or is_expired:
             self._fronts = max(1, count)
             self._fronts_at = now
--- a/src/scalebend/core/gateway/routing_push.py
+++ b/src/scalebend/core/gateway/routing_push.py
@@ -16,7 +16,7 @@
 from scalebend.models.ids import InstanceId, RoutingVersion
 from scalebend.models.routing import EMPTY_ROUTING, Routing
 
-KEPT_VERSIONS = 64
+MAX_KEPT_VERSIONS = 64
 """Past routing documents kept as a base for sending only the changes."""
 
 PUSH_INTERVAL_S = 0.02
@@ -69,7 +69,7 @@
         self.routing = routing
         self._history[routing.version] = routing
         self._updates_by_base.clear()
-        while len(self._history) > KEPT_VERSIONS:
+        while len(self._history) > MAX_KEPT_VERSIONS:
             oldest = min(v for v in self._history if v != EMPTY_ROUTING.version)
             del self._history[oldest]
 
--- a/src/scalebend/core/gateway/service_balancer.py
+++ b/src/scalebend/core/gateway/service_balancer.py
@@ -11,7 +11,7 @@
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import AvailabilityZone, UpstreamId
 
-READING_LIFE_S = 0.5
+READING_LIFETIME_S = 0.5
 """Time for which a load reading that an upstream reported is used."""
 
 FAILURE_WEIGHT = 8.0
@@ -20,7 +20,7 @@
 FAILURE_SMOOTHING = 0.3
 """Weight of the newest outcome in the moving average of the failure rate."""
 
-FAILURE_LIFE_S = 3.0
+FAILURE_LIFETIME_S = 3.0
 """Time after the last failure for which the failure rate counts; then the upstream is
 tried again."""
 
@@ -105,10 +105,10 @@
     def _weigh(self, endpoint: Endpoint, zone: AvailabilityZone, now: float) -> float:
         record = self._get(endpoint.upstream)
         weight = float(record.open)
-        if record.reading is not None and now - record.read_at < READING_LIFE_S:
+        if record.reading is not None and now - record.read_at < READING_LIFETIME_S:
             reported = record.reading.running + record.reading.waiting
             weight = max(weight, float(reported))
-        if now - record.failed_at < FAILURE_LIFE_S:
+        if now - record.failed_at < FAILURE_LIFETIME_S:
             weight += FAILURE_WEIGHT * record.failure_rate
         if endpoint.availability_zone != zone:
             weight += ZONE_WEIGHT
--- a/src/scalebend/core/instance.py
+++ b/src/scalebend/core/instance.py
@@ -93,16 +93,16 @@
 
 logger = structlog.get_logger(__name__)
 
-RENEW_PERIOD_S = 1.0
+RENEW_INTERVAL_S = 1.0
 """Time between two renewals of the reservations at replica owners."""
 
-USAGE_PERIOD_S = 1.0
+USAGE_INTERVAL_S = 1.0
 """Time between two usage reports."""
 
-FETCH_PERIOD_S = 0.25
+FETCH_INTERVAL_S = 0.25
 """Time between two requests for state while newer state is known to exist."""
 
-REFRESH_PERIOD_S = 2.0
+REFRESH_INTERVAL_S = 2.0
 """Time between two requests for state while no newer state is known."""
 
 ISOLATION_TIMEOUT_S = 6.0
@@ -114,7 +114,7 @@
 CATALOG_GRACE_S = 3.0
 """Time after its start that an instance waits for another instance's catalog."""
 
-COMPARE_PERIOD_S = 5.0
+COMPARE_INTERVAL_S = 5.0
 """Time between two catalog comparisons, each with the next live instance.
 
 Rumors are sent a bounded number of times and may all be lost; the comparison finds
@@ -400,9 +400,9 @@
         ended, sent = self.client.advance(now)
         steps += self._handle_ended_proposals(ended)
         steps += sent
-        if self._is_due("renew", RENEW_PERIOD_S, now):
+        if self._is_due("renew", RENEW_INTERVAL_S, now):
             steps += self.entry.renew(now)
-        if self._is_due("usage", USAGE_PERIOD_S, now):
+        if self._is_due("usage", USAGE_INTERVAL_S, now):
             steps += self.usage.build_reports(now)
         steps += self._request_updates(now)
         self._advance_control(now, wall)
@@ -460,16 +460,16 @@
         own = (self.configuration.version, self.instances.epoch)
         newest = self.membership.newest_versions
         needs_more = newest[0] > own[0] or newest[1] > own[1] or not self.is_fresh
-        if needs_more and self._is_due("fetch", FETCH_PERIOD_S, now):
+        if needs_more and self._is_due("fetch", FETCH_INTERVAL_S, now):
             steps += self._request_state(self.membership.newest_sender)
-        elif self._is_due("refresh", REFRESH_PERIOD_S, now):
+        elif self._is_due("refresh", REFRESH_INTERVAL_S, now):
             steps += self._request_state(None)
         if not self.upstream_updates.has_catalog and self._is_due(
-            "catalog", FETCH_PERIOD_S, now
+            "catalog", FETCH_INTERVAL_S, now
         ):
             steps += self._request_catalog()
         elif self.upstream_updates.has_catalog and self._is_due(
-            "compare", COMPARE_PERIOD_S, now
+            "compare", COMPARE_INTERVAL_S, now
         ):
             steps += self._request_catalog_comparison()
         return steps
--- a/src/scalebend/core/membership.py
+++ b/src/scalebend/core/membership.py
@@ -22,7 +22,7 @@
 from scalebend.core.messages import Datagram, MemberRumor, Rumor
 from scalebend.models.ids import ConfigurationVersion, Epoch, InstanceId
 
-HEARTBEAT_PERIOD_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 """Time between two heartbeats to a watcher."""
 
 PROBE_AFTER_S = 0.9
@@ -41,7 +41,7 @@
 FANOUT = 3
 """Instances that receive rumors in one gossip round."""
 
-GOSSIP_PERIOD_S = 0.4
+GOSSIP_INTERVAL_S = 0.4
 MAX_RUMOR_BYTES = 700
 """Encoded size of all rumors in one datagram, so that it is not fragmented."""
 
@@ -229,11 +229,11 @@
         self._reset_after_own_pause(now)
         actions = self._notify_wrongly_dead() + self._reply_to_probes()
         if now >= self._heartbeat_at:
-            self._heartbeat_at = now + HEARTBEAT_PERIOD_S
+            self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
             actions += self._send_heartbeats(now)
             actions += self._check_watched(now)
         if now >= self._gossip_at:
-            self._gossip_at = now + GOSSIP_PERIOD_S
+            self._gossip_at = now + GOSSIP_INTERVAL_S
             actions += self._send_rumors(now)
         return actions
 
@@ -262,12 +262,12 @@
         # time to read them before any instance is suspected.
         pause = now - self._last_advance
         self._last_advance = now
-        if pause > 2 * HEARTBEAT_PERIOD_S:
+        if pause > 2 * HEARTBEAT_INTERVAL_S:
             self._reset_suspicions(now)
 
     def _reset_suspicions(self, now: float) -> None:
         for peer in self._peers.values():
-            peer.last_contact = max(peer.last_contact, now - HEARTBEAT_PERIOD_S)
+            peer.last_contact = max(peer.last_contact, now - HEARTBEAT_INTERVAL_S)
         self._suspects.clear()
 
     def _list_ring(self) -> list[InstanceId]:
--- a/src/scalebend/core/send_budget.py
+++ b/src/scalebend/core/send_budget.py
@@ -27,7 +27,7 @@
 """Burst after an idle time, in seconds at the limit, and one request at least: requests
 arrive at random, so evenly spaced permits would often go unused."""
 
-PERMIT_LIFE_S = 1.0
+PERMIT_LIFETIME_S = 1.0
 """Least time for which an uncoordinated send permit is valid; at low rates it is the
 interval of the limit. Permits that never expired could be used by many fronts at once.
 """
@@ -221,7 +221,7 @@
             burst = max(BURST_S, interval)
             return _Spacing(interval, burst, now + burst + interval)
         case UncoordinatedShare(fronts, number, since):
-            life = max(PERMIT_LIFE_S, 1.0 / rate)
+            life = max(PERMIT_LIFETIME_S, 1.0 / rate)
             position = (number + zlib.crc32(upstream.encode())) % fronts
             return _ExpiringPermits(since + (position + 1) / rate, fronts / rate, life)
 
--- a/src/scalebend/core/usage_exchange.py
+++ b/src/scalebend/core/usage_exchange.py
@@ -9,7 +9,7 @@
 from scalebend.core.shares import ShareLedger, UsageHome
 from scalebend.models.ids import CustomerId, InstanceId
 
-MAX_HOMES_PER_PERIOD = 4
+MAX_HOMES_PER_INTERVAL = 4
 """Homes that receive a report per period, in rotation."""
 
 
@@ -50,7 +50,7 @@
         # Homes rotate, so that the cost per period does not grow with customers.
         ordered = sorted(reports)
         start = self._next_home % max(1, len(ordered))
-        chosen = (ordered[start:] + ordered[:start])[:MAX_HOMES_PER_PERIOD]
+        chosen = (ordered[start:] + ordered[:start])[:MAX_HOMES_PER_INTERVAL]
         self._next_home = start + len(chosen)
         return [ToInstance(home, reports[home]) for home in chosen]
 
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -25,7 +25,7 @@
     SendPermitRequest,
 )
 from scalebend.core.gateway.placement_aging import (
-    REPLAN_PERIOD_S,
+    REPLAN_INTERVAL_S,
     age_placement,
     age_work,
 )
@@ -227,10 +227,10 @@
 
         Meanwhile, ask the leader periodically for a new placement.
         """
-        while placement.start_in > REPLAN_PERIOD_S:
+        while placement.start_in > REPLAN_INTERVAL_S:
             asked_at = self.now()
-            await asyncio.sleep(REPLAN_PERIOD_S)
-            renewed = age_work(work, REPLAN_PERIOD_S)
+            await asyncio.sleep(REPLAN_INTERVAL_S)
+            renewed = age_work(work, REPLAN_INTERVAL_S)
             reply = await self._leader_calls.place(
                 self.instance.leader,
                 self.instance.exclude_in_backoff(renewed, self.now()),
--- a/src/scalebend/edges/gateway/inspection.py
+++ b/src/scalebend/edges/gateway/inspection.py
@@ -29,7 +29,7 @@
 REPEAT_INTERVAL_S = 0.9
 """Least time between two reports of the same replica to this front."""
 
-REPORT_LIFE_S = 2.0
+REPORT_LIFETIME_S = 2.0
 """Time after which a report is stale."""
 
 
@@ -82,9 +82,9 @@
 
     def is_queueing(self, upstream: UpstreamId, now: float) -> bool:
         """Whether a recent report explains a wait by queued requests, not slowness."""
-        asked_at = self._asked_at.get(upstream, -REPORT_LIFE_S)
+        asked_at = self._asked_at.get(upstream, -REPORT_LIFETIME_S)
         report = self._reports.get(upstream)
-        if not isinstance(report, ReplicaReport) or now - asked_at > REPORT_LIFE_S:
+        if not isinstance(report, ReplicaReport) or now - asked_at > REPORT_LIFETIME_S:
             return False
         return report.waiting > 0 and report.pace < UNHEALTHY_PACE
 
--- a/src/scalebend/edges/gateway/reservations.py
+++ b/src/scalebend/edges/gateway/reservations.py
@@ -25,7 +25,7 @@
 ORDER_TIMEOUT_S = 0.5
 """Timeout of one order to a replica, which needs no slot there."""
 
-RESERVATION_LIFE_S = 3.4
+RESERVATION_LIFETIME_S = 3.4
 """Lifetime of a reservation that is not renewed. A front may crash, or an order may
 arrive after its release; either way the replica frees the memory within the 4 s that
 the platform allows."""
@@ -95,7 +95,7 @@
 async def _reserve(
     runtime: FrontRuntime, work: EngineWork, helper: Helper
 ) -> int | None:
-    life_s = min(RESERVATION_LIFE_S, runtime.settings.bounds.max_reservation_s)
+    life_s = min(RESERVATION_LIFETIME_S, runtime.settings.bounds.max_reservation_s)
     body = encode_reservation(work.job, helper.tokens, life_s)
     status = await _send_order(runtime, helper, body)
     logger.info(
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -20,7 +20,7 @@
     EngineScheduler,
 )
 from scalebend.core.gateway.placement_aging import (
-    REPLAN_PERIOD_S,
+    REPLAN_INTERVAL_S,
     age_placement,
     age_work,
 )
@@ -236,8 +236,8 @@
     def _await_start(self, number: int) -> None:
         """Send at the planned start; replan at intervals while it is later."""
         start_in = self._jobs[number].placement.start_in
-        if start_in > REPLAN_PERIOD_S:
-            self._call_at(self._now + REPLAN_PERIOD_S, lambda: self._replan(number))
+        if start_in > REPLAN_INTERVAL_S:
+            self._call_at(self._now + REPLAN_INTERVAL_S, lambda: self._replan(number))
         else:
             self._call_at(self._now + start_in + HOP_TIME_S, lambda: self._send(number))
 
@@ -245,10 +245,10 @@
         job = self._jobs[number]
         if job.has_ended:
             return
-        job.work = age_work(job.work, REPLAN_PERIOD_S)
+        job.work = age_work(job.work, REPLAN_INTERVAL_S)
         cell = job.cell
         if cell is None or self._has_no_leader(cell, job.result.arrival.front):
-            job.placement = age_placement(job.placement, REPLAN_PERIOD_S)
+            job.placement = age_placement(job.placement, REPLAN_INTERVAL_S)
             self._await_start(number)
             return
         placed = self._decide(job.work, job.result.arrival.front, cell)
--- a/tests/unit/gateway/test_engine_scheduler.py
+++ b/tests/unit/gateway/test_engine_scheduler.py
@@ -13,7 +13,7 @@
     UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
-from scalebend.core.gateway.replica_load import UNKNOWN_JOBS_TTL_S
+from scalebend.core.gateway.replica_load import UNKNOWN_JOBS_LIFETIME_S
 from scalebend.models.ids import InstanceId
 from scalebend.models.placement import (
     Declined,
@@ -234,7 +234,7 @@
     assert second.upstream != first.upstream
     scheduler.record_stage(JobStage("front-1-2", is_ended=True), 0.2)
     # The replica's count expires.
-    old = 0.1 + UNKNOWN_JOBS_TTL_S
+    old = 0.1 + UNKNOWN_JOBS_LIFETIME_S
     assert place(scheduler, build_quick(3), old - 0.1).upstream != first.upstream
     assert place(scheduler, build_quick(4), old).upstream == first.upstream
 
--- a/tests/unit/gateway/test_limit_exchange.py
+++ b/tests/unit/gateway/test_limit_exchange.py
@@ -2,7 +2,7 @@
 
 from scalebend.core.gateway.limit_exchange import (
     LOST_FRONT_RETENTION_S,
-    UPDATE_PERIOD_S,
+    UPDATE_INTERVAL_S,
     LimitExchange,
 )
 from scalebend.core.gateway.messages import FrontNumber, LimitUpdates, SendPermitRequest
@@ -65,7 +65,7 @@
     exchange.receive(FRONTS[1], [ObservedLimit(UPSTREAM, 1.0, 1)], 2.0)
     assert exchange.send_due(3.0, is_leader=True) == []
     exchange.receive(FRONTS[1], [ObservedLimit(UPSTREAM, 0.5, 1)], 3.0)
-    assert exchange.send_due(3.0 - UPDATE_PERIOD_S, is_leader=True) != []
+    assert exchange.send_due(3.0 - UPDATE_INTERVAL_S, is_leader=True) != []
 
 
 def test_lost_front_still_counts_in_positions():
--- a/tests/unit/gateway/test_placement_under_load.py
+++ b/tests/unit/gateway/test_placement_under_load.py
@@ -20,7 +20,7 @@
 
 from scalebend.core.gateway.engine_scheduler import EngineScheduler
 from scalebend.core.gateway.placement_aging import (
-    REPLAN_PERIOD_S,
+    REPLAN_INTERVAL_S,
     age_placement,
     age_work,
 )
@@ -218,8 +218,8 @@
 
 def test_queued_prompt_without_a_new_placement_keeps_its_start():
     _, _, wide, waiting = build_waiting_group()
-    kept = age_placement(waiting, REPLAN_PERIOD_S)
-    assert kept.start_in == pytest.approx(waiting.start_in - REPLAN_PERIOD_S)
+    kept = age_placement(waiting, REPLAN_INTERVAL_S)
+    assert kept.start_in == pytest.approx(waiting.start_in - REPLAN_INTERVAL_S)
     assert kept.upstreams == waiting.upstreams
     assert age_work(wide, 20.0).target == 0.0
 
--- a/tests/unit/gateway/test_reservations.py
+++ b/tests/unit/gateway/test_reservations.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from scalebend.edges.gateway import reservations
-from scalebend.edges.gateway.reservations import RESERVATION_LIFE_S, reserve_memory
+from scalebend.edges.gateway.reservations import RESERVATION_LIFETIME_S, reserve_memory
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
 from scalebend.models.placement import Helper, Placement
 from tests.lib.gateway_builders import build_work
@@ -67,7 +67,7 @@
                 replicas[1].address,
             ]
             assert list_orders(replicas[0]) == ["reserve"]
-            assert replicas[0].orders[0]["HoldMs"] == int(RESERVATION_LIFE_S * 1000)
+            assert replicas[0].orders[0]["HoldMs"] == int(RESERVATION_LIFETIME_S * 1000)
         await asyncio.gather(*runtime.tasks)
         assert list_orders(replicas[0]) == ["reserve", "release"]
         assert replicas[0].orders[1]["Id"] == work.job
@@ -138,8 +138,8 @@
 
 def test_reservation_expires_within_the_platform_limit():
     # A front may crash or an order arrive late: a reservation must expire by itself.
-    assert RESERVATION_LIFE_S < 4.0
+    assert RESERVATION_LIFETIME_S < 4.0
     assert (
         2 * reservations.RENEW_INTERVAL_S + reservations.ORDER_TIMEOUT_S
-        < RESERVATION_LIFE_S
+        < RESERVATION_LIFETIME_S
     )
--- a/tests/unit/test_send_budget.py
+++ b/tests/unit/test_send_budget.py
@@ -7,7 +7,7 @@
 from scalebend.core.send_budget import (
     BURST_S,
     MIN_RATE_PER_S,
-    PERMIT_LIFE_S,
+    PERMIT_LIFETIME_S,
     LeaderShare,
     SendBudget,
     UncoordinatedShare,
@@ -67,7 +67,7 @@
     shares = [UncoordinatedShare(fronts, number, 0.0) for number in range(fronts)]
     budgets = [build_budget(rate, share)[1] for share in shares]
     times = request_permits(budgets, pauses)
-    life = max(PERMIT_LIFE_S, 1.0 / rate)
+    life = max(PERMIT_LIFETIME_S, 1.0 / rate)
     for window in (1.0, 4.0):
         assert count_most(times, window) <= 1.0 + rate * (window + life) + 1e-6
 
