--- a/src/scalebend/core/crash_ledger.py
+++ b/src/scalebend/core/crash_ledger.py
@@ -107,7 +107,7 @@
         )
         return CrashRecord(fingerprint, tuple(record.crashed))
 
-    def record_response(self, fingerprint: Fingerprint, now: float) -> bool:
+    def record_completed(self, fingerprint: Fingerprint, now: float) -> bool:
         """Record a complete response; return whether the request was suspect."""
         self._succeeded_at.pop(fingerprint, None)
         self._succeeded_at[fingerprint] = now
--- a/src/scalebend/core/crash_watch.py
+++ b/src/scalebend/core/crash_watch.py
@@ -53,8 +53,8 @@
         if record is not None:
             self._updates.append(record)
 
-    def record_response(self, request: Request, now: float) -> None:
+    def record_completed(self, request: Request, now: float) -> None:
         """Record a complete response of an upstream."""
         content = request.content
-        if content is not None and self.ledger.record_response(content, now):
+        if content is not None and self.ledger.record_completed(content, now):
             self._updates.append(CrashRecord(content, ()))
--- a/src/scalebend/core/entry.py
+++ b/src/scalebend/core/entry.py
@@ -214,7 +214,7 @@
             case Completed():
                 self.placement.outliers.record_success(lead)
                 self._record_prefix(flow)
-                self.crashes.record_response(flow.request, now)
+                self.crashes.record_completed(flow.request, now)
                 return self._conclude(flow, None, result.output_tokens)
             case NeverStarted(detail) if flow.attempt.phase is Phase.DECODE:
                 self._record_failure(lead, now)
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -475,7 +475,7 @@
 
     def record_completed(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
         """Record that an upstream gave a complete response to the request."""
-        if not self.crashes.record_response(fingerprint, now):
+        if not self.crashes.record_completed(fingerprint, now):
             return []
         return self._send_to_leader(CrashUpdates([], [fingerprint]))
 
--- a/tests/unit/test_crash_ledger.py
+++ b/tests/unit/test_crash_ledger.py
@@ -64,14 +64,14 @@
 def test_complete_response_clears_a_request():
     ledger = CrashLedger()
     record_crashes(ledger, CRASHES_UNTIL_QUARANTINE - 1)
-    assert ledger.record_response(CAUSE, 1.0)
+    assert ledger.record_completed(CAUSE, 1.0)
     assert not ledger.is_suspect(CAUSE)
-    assert not ledger.record_response(CAUSE, 1.0)
+    assert not ledger.record_completed(CAUSE, 1.0)
 
 
 def test_request_with_recent_response_does_not_become_suspect():
     ledger = CrashLedger()
-    ledger.record_response(CAUSE, 0.0)
+    ledger.record_completed(CAUSE, 0.0)
     record_crashes(ledger, 10, 1.0)
     assert ledger.compute_quarantine(CAUSE, 1.0) == 0.0
     # The response protects the request only for a limited time.
@@ -94,7 +94,7 @@
     for number in range(10_000):
         other = Fingerprint(f"other-{number}")
         ledger.record_crash(other, name(number), 0.0)
-        ledger.record_response(Fingerprint(f"answered-{number}"), 0.0)
+        ledger.record_completed(Fingerprint(f"answered-{number}"), 0.0)
     record_crashes(ledger, 10 * MAX_UPSTREAMS_PER_RECORD)
     assert len(ledger.list_records()) == MAX_RECORDS
     assert len(ledger._succeeded_at) == MAX_SUCCESSES
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -76,7 +76,7 @@
         is ErrorKind.ENDS_UPSTREAMS
     )
     # A later success clears the record at all instances.
-    second.entry.crashes.record_response(request, 1.0)
+    second.entry.crashes.record_completed(request, 1.0)
     send_rumors(second, first)
     assert first.entry.crashes.find_quarantine(request, 1.0) is None
 
