--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -53,7 +53,7 @@
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_push import RoutingPush
 from scalebend.core.gateway.routing_store import unpack_routing
-from scalebend.core.gateway.upstream_exchange import UpstreamExchange, UpstreamUpdates
+from scalebend.core.gateway.upstream_exchange import DirectoryUpdates, UpstreamExchange
 from scalebend.core.messages import (
     FoundGroup,
     Hello,
@@ -395,7 +395,7 @@
         departure = Deregistration(name, born)
         return self._send_updates(self.upstreams.deregister(departure, now))
 
-    def _send_updates(self, updates: UpstreamUpdates) -> list[ControlAction]:
+    def _send_updates(self, updates: DirectoryUpdates) -> list[ControlAction]:
         actions: list[ControlAction] = []
         if updates.to_peers:
             # All peers share one message, which is then encoded only once.
--- a/src/scalebend/core/gateway/upstream_exchange.py
+++ b/src/scalebend/core/gateway/upstream_exchange.py
@@ -28,7 +28,7 @@
 control instances but not from the fronts."""
 
 
-class UpstreamUpdates(msgspec.Struct, frozen=True):
+class DirectoryUpdates(msgspec.Struct, frozen=True):
     """Updates to send now, to all other control instances and to all fronts."""
 
     to_peers: list[EndpointUpdate]
@@ -52,7 +52,7 @@
         self.directory.restore(updates, self._restored_lifetime_s, now)
         logger.info("upstreams restored", count=len(self.directory.list_ids()))
 
-    def register(self, endpoint: Endpoint, now: float) -> UpstreamUpdates:
+    def register(self, endpoint: Endpoint, now: float) -> DirectoryUpdates:
         """Register an upstream.
 
         Peers receive each registration, even without a change, as a heartbeat.
@@ -60,33 +60,33 @@
         change = self.directory.register(endpoint, now)
         known = self.directory.get(endpoint.upstream)
         if known is None:
-            return UpstreamUpdates([], [])
+            return DirectoryUpdates([], [])
         return self._queue([EndpointUpdate(known, is_gone=False)], [change], now)
 
-    def deregister(self, departure: Deregistration, now: float) -> UpstreamUpdates:
+    def deregister(self, departure: Deregistration, now: float) -> DirectoryUpdates:
         """Deregister an upstream."""
         change = self.directory.deregister(departure, now)
         return self._queue([change], [change], now)
 
     def record_draining(
         self, upstreams: list[UpstreamId], now: float
-    ) -> UpstreamUpdates:
+    ) -> DirectoryUpdates:
         """Record upstreams that announced to a front that they drain."""
         changes = [self.directory.record_draining(one) for one in upstreams]
         return self._queue(changes, changes, now)
 
-    def merge(self, updates: list[EndpointUpdate], now: float) -> UpstreamUpdates:
+    def merge(self, updates: list[EndpointUpdate], now: float) -> DirectoryUpdates:
         """Apply updates of a peer, which sends them to the other peers itself."""
         changes = [self.directory.merge(one, now) for one in updates]
         return self._queue([], changes, now)
 
-    def expire(self, now: float) -> UpstreamUpdates:
+    def expire(self, now: float) -> DirectoryUpdates:
         """Mark timed-out upstreams as gone; peers detect them by themselves."""
         return self._queue([], self.directory.expire(now), now)
 
-    def take_due(self, now: float) -> UpstreamUpdates:
+    def take_due(self, now: float) -> DirectoryUpdates:
         """Take the pending updates that are due."""
-        return UpstreamUpdates(
+        return DirectoryUpdates(
             self._to_peers.take_due(now), self._to_fronts.take_due(now)
         )
 
@@ -95,13 +95,13 @@
         to_peers: Iterable[EndpointUpdate | None],
         changes: Iterable[EndpointUpdate | None],
         now: float,
-    ) -> UpstreamUpdates:
+    ) -> DirectoryUpdates:
         registrations = [one for one in to_peers if one is not None]
         published = [one for one in changes if one is not None]
         for change in published:
             _log_change(change)
         self.changes += len(published)
-        return UpstreamUpdates(
+        return DirectoryUpdates(
             self._to_peers.add(registrations, now) if registrations else [],
             self._to_fronts.add(published, now) if published else [],
         )
