--- a/src/scalebend/core/consensus/replica.py
+++ b/src/scalebend/core/consensus/replica.py
@@ -256,7 +256,7 @@
 
     # Output
 
-    def take_ready(self) -> Ready:
+    def collect_ready(self) -> Ready:
         """Return the pending work; call :meth:`confirm` once it is carried out."""
         entries = self.log.read(LogIndex(self._durable_index + 1), len(self.log))
         persist = None
--- a/src/scalebend/core/control_member.py
+++ b/src/scalebend/core/control_member.py
@@ -201,10 +201,10 @@
 
     # Output
 
-    def take_ready(self, now: float) -> Ready:
+    def collect_ready(self, now: float) -> Ready:
         """Return the work that must be durable before :meth:`finish`."""
         self.replica.advance(now)
-        return self.replica.take_ready()
+        return self.replica.collect_ready()
 
     @property
     def has_outgoing(self) -> bool:
--- a/src/scalebend/core/crash_watch.py
+++ b/src/scalebend/core/crash_watch.py
@@ -16,8 +16,8 @@
         self.ledger = CrashLedger()
         self._updates: list[CrashRecord] = []
 
-    def take_updates(self) -> list[CrashRecord]:
-        """Take the local updates since the last call.
+    def pop_updates(self) -> list[CrashRecord]:
+        """Remove and return the local updates since the last call.
 
         A record without upstreams clears its request.
         """
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -209,7 +209,7 @@
             # missing registrations say nothing about the upstreams.
             self._expire_at = now + EXPIRY_INTERVAL_S
             actions += self._send_updates(self.upstreams.expire(now))
-        actions += self._send_updates(self.upstreams.take_due(now))
+        actions += self._send_updates(self.upstreams.pop_due(now))
         actions += self._send_crashes(now)
         actions += self.limits.send_due(now, is_leader=self.is_leader)
         return actions
@@ -301,8 +301,8 @@
             case CrashUpdates():
                 self.crashes.receive(message, now)
                 return self._send_crashes(now)
-            case ObservedLimits(heard):
-                self.limits.receive(front, heard, now)
+            case ObservedLimits(observed):
+                self.limits.receive(front, observed, now)
             case LimitUpdates(limits):
                 self.limits.merge(front, limits, now)
             case RejectionReport(upstream):
@@ -462,7 +462,7 @@
 
     def _reply_to_freshness_requests(self, now: float) -> list[ControlAction]:
         replica = self.member.replica
-        confirmed = self._freshness_requests.take_confirmed(
+        confirmed = self._freshness_requests.pop_confirmed(
             replica.compute_confirmed_at(now), now, is_leader=self.is_leader
         )
         urgent_at = self._freshness_requests.find_urgent()
--- a/src/scalebend/core/gateway/endpoint_directory.py
+++ b/src/scalebend/core/gateway/endpoint_directory.py
@@ -130,7 +130,7 @@
         if known is None:
             self._start_incarnation(endpoint, now)
             self._known[endpoint.upstream] = _Known(endpoint, now)
-            self._take_address(endpoint)
+            self._assign_address(endpoint)
             return self._publish(endpoint, is_gone=False)
         if known.takeover_registrations is not None and not self._regains_address(
             known, endpoint
@@ -182,7 +182,7 @@
         )
         self.remove(before, now)
 
-    def _take_address(self, endpoint: Endpoint) -> None:
+    def _assign_address(self, endpoint: Endpoint) -> None:
         """Assign the address to the endpoint; its previous holder is gone."""
         before = self._by_address.get(endpoint.address)
         self._by_address[endpoint.address] = endpoint.upstream
@@ -215,7 +215,7 @@
         if (known.takeover_registrations or 0) < self._registrations_to_regain_address:
             return False
         known.takeover_registrations = None
-        self._take_address(endpoint)
+        self._assign_address(endpoint)
         return True
 
     def remove(self, upstream: UpstreamId, now: float) -> EndpointUpdate | None:
--- a/src/scalebend/core/gateway/freshness.py
+++ b/src/scalebend/core/gateway/freshness.py
@@ -39,10 +39,10 @@
         """Add a request."""
         self._pending.append(request)
 
-    def take_confirmed(
+    def pop_confirmed(
         self, confirmed_at: float | None, now: float, *, is_leader: bool
     ) -> list[FreshnessRequest]:
-        """Take the requests received before the last confirmation of the leadership.
+        """Remove and return requests older than the last confirmation of leadership.
 
         ``confirmed_at`` is ``None`` without a confirmation. Requests of fronts then
         stay only on the leader, which may have just been elected; those of readers stay
@@ -56,9 +56,9 @@
                 and now - request.received_at < QUORUM_TIMEOUT_S
             ]
             return []
-        taken = [one for one in self._pending if one.received_at <= confirmed_at]
+        popped = [one for one in self._pending if one.received_at <= confirmed_at]
         self._pending = [one for one in self._pending if one.received_at > confirmed_at]
-        return taken
+        return popped
 
     def find_urgent(self) -> float | None:
         """Return when the newest pending urgent request was received."""
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -438,9 +438,9 @@
 
     # Rate limits
 
-    def record_limit(self, heard: ObservedLimit, now: float) -> list[ToControl]:
+    def record_limit(self, observed: ObservedLimit, now: float) -> list[ToControl]:
         """Record the rate limit in an upstream's response, or that there is none."""
-        update = self.limits.receive(heard, now, has_leader=self.leader is not None)
+        update = self.limits.receive(observed, now, has_leader=self.leader is not None)
         return self._send_to_leader(update) if update is not None else []
 
     def record_uncoordinated_send(self, upstream: UpstreamId) -> list[ToControl]:
--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -53,20 +53,20 @@
         return self._limits.count_limited()
 
     def receive(
-        self, reported: ObservedLimit, now: float, *, has_leader: bool
+        self, observed: ObservedLimit, now: float, *, has_leader: bool
     ) -> ObservedLimits | None:
         """Apply the limit named in a response; return the report for the leader.
 
         The leader decides when a limit is raised or ends, and publishes it; a front
         without a leader decides for itself.
         """
-        known = self._limits.get(reported.upstream)
-        if reported.rate == known.rate:
+        known = self._limits.get(observed.upstream)
+        if observed.rate == known.rate:
             return None
-        if reported.rate < known.rate or not has_leader:
-            changed = self._limits.apply(reported)
+        if observed.rate < known.rate or not has_leader:
+            changed = self._limits.apply(observed)
             self._apply_changes([changed] if changed is not None else [], now)
-        return ObservedLimits([reported]) if has_leader else None
+        return ObservedLimits([observed]) if has_leader else None
 
     def apply_updates(self, updates: LimitUpdates, now: float) -> None:
         """Merge limits that a control instance published."""
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -113,10 +113,10 @@
     # Updates
 
     def receive(
-        self, front: InstanceId, reported: Iterable[ObservedLimit], now: float
+        self, front: InstanceId, observed: Iterable[ObservedLimit], now: float
     ) -> None:
         """Apply limits that a front read in responses."""
-        for one in reported:
+        for one in observed:
             changed = self.limits.apply(one)
             if changed is not None:
                 self._record_change(changed, front, now)
--- a/src/scalebend/core/gateway/update_batch.py
+++ b/src/scalebend/core/gateway/update_batch.py
@@ -35,15 +35,15 @@
             self._pending.pop(one.endpoint.upstream, None)
             self._pending[one.endpoint.upstream] = one
         if any(one.is_gone or one.endpoint.is_draining for one in updates):
-            return self._take(now)
-        return self.take_due(now)
+            return self._pop_all(now)
+        return self.pop_due(now)
 
-    def take_due(self, now: float) -> list[EndpointUpdate]:
-        """Take all pending updates if the next message is due."""
-        return self._take(now) if self._pending and now >= self._due_at else []
+    def pop_due(self, now: float) -> list[EndpointUpdate]:
+        """Remove and return all pending updates if the next message is due."""
+        return self._pop_all(now) if self._pending and now >= self._due_at else []
 
-    def _take(self, now: float) -> list[EndpointUpdate]:
-        taken = list(self._pending.values())
+    def _pop_all(self, now: float) -> list[EndpointUpdate]:
+        popped = list(self._pending.values())
         self._pending.clear()
         self._due_at = now + BATCH_INTERVAL_S
-        return taken
+        return popped
--- a/src/scalebend/core/gateway/upstream_exchange.py
+++ b/src/scalebend/core/gateway/upstream_exchange.py
@@ -84,10 +84,10 @@
         """Mark timed-out upstreams as gone; peers detect them by themselves."""
         return self._queue([], self.directory.expire(now), now)
 
-    def take_due(self, now: float) -> DirectoryUpdates:
-        """Take the pending updates that are due."""
+    def pop_due(self, now: float) -> DirectoryUpdates:
+        """Remove and return the pending updates that are due."""
         return DirectoryUpdates(
-            self._to_peers.take_due(now), self._to_fronts.take_due(now)
+            self._to_peers.pop_due(now), self._to_fronts.pop_due(now)
         )
 
     def _queue(
--- a/src/scalebend/core/ledger.py
+++ b/src/scalebend/core/ledger.py
@@ -78,8 +78,8 @@
             self._used += tokens
         self._cancellations[attempt] = _Cancellation(reserved, now)
 
-    def take_due_cancellations(self, now: float) -> list[AttemptId]:
-        """Return the attempts whose cancellation is due, and schedule the next send."""
+    def reschedule_due_cancellations(self, now: float) -> list[AttemptId]:
+        """Return the attempts whose cancellation is due; schedule its next send."""
         due = [
             attempt
             for attempt, cancellation in self._cancellations.items()
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -168,7 +168,7 @@
         actions = self._refuse_expired(now)
         self._expire_leases(now)
         self._cancel_unclaimed(now)
-        for attempt in self.ledger.take_due_cancellations(now):
+        for attempt in self.ledger.reschedule_due_cancellations(now):
             actions.append(CancelOnEngine(self.view.upstream, attempt))
         return actions + self._start_waiting(now)
 
--- a/src/scalebend/core/ownership.py
+++ b/src/scalebend/core/ownership.py
@@ -56,14 +56,14 @@
         """Return the instance that owns the replica."""
         return self._responsible.find(upstream)
 
-    def is_mine(self, upstream: UpstreamId) -> bool:
+    def is_local(self, upstream: UpstreamId) -> bool:
         """Whether this instance owns the replica."""
         return self.find_owner(upstream) == self._instance
 
     def get_or_create(self, record: UpstreamRecord, now: float) -> ReplicaOwner | None:
         """Return the owner object, created if needed; ``None`` if owned elsewhere."""
         upstream = record.announcement.upstream
-        if not self.is_mine(upstream):
+        if not self.is_local(upstream):
             return None
         owner = self._owners.get(upstream)
         if owner is None:
--- a/src/scalebend/core/streams.py
+++ b/src/scalebend/core/streams.py
@@ -24,7 +24,7 @@
         self._buffered: dict[int, bytes] = {}
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the end is known and all chunks before it were delivered."""
         return self._end is not None and self.next_offset == self._end
 
--- a/src/scalebend/core/upstream_updates.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -79,7 +79,7 @@
     def advance(self, now: float) -> list[UpdateAction]:
         """Run the owners' timers; remove upstreams whose announcements expired."""
         actions: list[UpdateAction] = []
-        for record in self._entry.crashes.take_updates():
+        for record in self._entry.crashes.pop_updates():
             self._spread_crash(record)
         self._entry.crashes.ledger.expire(now)
         for upstream, owner in self._owners:
@@ -172,7 +172,7 @@
             known = (record.announcement.incarnation, record.announcement.sequence)
         if update < known:
             return []
-        if self._owners.is_mine(upstream):
+        if self._owners.is_local(upstream):
             # The owner relies on announcements; a rumor only adds an upstream that
             # has not announced itself here yet.
             if record is None and not is_gone:
@@ -190,7 +190,7 @@
 
     def _apply_digest_rumor(self, rumor: DigestRumor) -> None:
         upstream = rumor.digest.upstream
-        if self._owners.is_mine(upstream):
+        if self._owners.is_local(upstream):
             return
         if self._digest_sequences.get(upstream, -1) >= rumor.sequence:
             return
@@ -234,6 +234,6 @@
             actions += self._apply_upstream_rumor(announcement, False, now)
         self._entry.crashes.ledger.merge(page.crashes, now)
         for digest in page.digests:
-            if not self._owners.is_mine(digest.upstream):
+            if not self._owners.is_local(digest.upstream):
                 self._entry.apply_digest(digest)
         return actions
--- a/src/scalebend/edges/control_pump.py
+++ b/src/scalebend/edges/control_pump.py
@@ -16,7 +16,7 @@
 ) -> None:
     """Persist and sync what ``member`` wrote before ``finish`` sends and applies it."""
     while True:
-        ready = member.take_ready(now)
+        ready = member.collect_ready(now)
         if ready.is_empty and not member.has_outgoing:
             break
         if ready.snapshot is not None:
--- a/src/scalebend/edges/exchange.py
+++ b/src/scalebend/edges/exchange.py
@@ -316,7 +316,7 @@
                 self._collected.append(forwardable)
         if start.phase is Phase.PREFILL and framer.next_offset == 1:
             return Prefilled()
-        if not framer.is_whole:
+        if not framer.is_complete:
             return Interrupted("the stream ended without its end event")
         usage = read_usage(framer.tail)
         self.output_tokens = usage.completion_tokens
--- a/src/scalebend/edges/gateway/control_calls.py
+++ b/src/scalebend/edges/gateway/control_calls.py
@@ -145,7 +145,7 @@
 ) -> AsyncIterator[None]:
     """Serve requests and inspect the engines until the block ends."""
     assert settings.control_address is not None
-    sock = Listeners().take(settings.control_address)
+    sock = Listeners().pop(settings.control_address)
     task = asyncio.create_task(_inspect_engines(runtime))
     try:
         async with listen(sock, ControlHandler(runtime).handle):
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -270,8 +270,8 @@
         return web.Response(status=200 if is_ready else 503)
 
     handler = CallerHandler(runtime)
-    callers = listeners.take(settings.callers_address)
-    readiness = listeners.take(settings.readiness_address)
+    callers = listeners.pop(settings.callers_address)
+    readiness = listeners.pop(settings.readiness_address)
     async with (
         open_upstream_sessions() as sessions,
         runtime.use_sessions(sessions),
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -228,7 +228,7 @@
         Meanwhile, ask the leader periodically for a new placement.
         """
         while placement.start_in > REPLAN_INTERVAL_S:
-            asked_at = self.now()
+            started_at = self.now()
             await asyncio.sleep(REPLAN_INTERVAL_S)
             renewed = age_work(work, REPLAN_INTERVAL_S)
             reply = await self._leader_calls.place(
@@ -236,7 +236,7 @@
                 self.instance.exclude_in_backoff(renewed, self.now()),
                 may_back_off=False,
             )
-            waited = self.now() - asked_at
+            waited = self.now() - started_at
             work = age_work(work, waited)
             placed = None
             if reply is not None:
@@ -272,7 +272,7 @@
             self._execute(self.instance.replace_job(work.job, kept, self.now()))
         return kept
 
-    async def request_send(
+    async def request_send_permit(
         self, upstreams: list[UpstreamId], timeout_s: float
     ) -> SendPermitReply:
         """Ask the leader for a permit to send to one of some rate-limited upstreams.
--- a/src/scalebend/edges/gateway/inspection.py
+++ b/src/scalebend/edges/gateway/inspection.py
@@ -77,14 +77,17 @@
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
-        self._asked_at: dict[UpstreamId, float] = {}
+        self._fetched_at: dict[UpstreamId, float] = {}
         self._reports: dict[UpstreamId, _Report] = {}
 
     def is_queueing(self, upstream: UpstreamId, now: float) -> bool:
         """Whether a recent report explains a wait by queued requests, not slowness."""
-        asked_at = self._asked_at.get(upstream, -REPORT_LIFETIME_S)
+        fetched_at = self._fetched_at.get(upstream, -REPORT_LIFETIME_S)
         report = self._reports.get(upstream)
-        if not isinstance(report, ReplicaReport) or now - asked_at > REPORT_LIFETIME_S:
+        if (
+            not isinstance(report, ReplicaReport)
+            or now - fetched_at > REPORT_LIFETIME_S
+        ):
             return False
         return report.waiting > 0 and report.pace < UNHEALTHY_PACE
 
@@ -96,7 +99,7 @@
             upstream
             for upstream in upstreams
             if self._reports.get(upstream) is _NoReport.UNANSWERED
-            and now - self._asked_at[upstream] < REPEAT_INTERVAL_S
+            and now - self._fetched_at[upstream] < REPEAT_INTERVAL_S
         ]
 
     async def inspect(self, addresses: dict[UpstreamId, str], now: float) -> Inspection:
@@ -104,11 +107,11 @@
         due = {
             upstream: address
             for upstream, address in addresses.items()
-            if now - self._asked_at.get(upstream, -REPEAT_INTERVAL_S)
+            if now - self._fetched_at.get(upstream, -REPEAT_INTERVAL_S)
             >= REPEAT_INTERVAL_S
         }
         for upstream in due:
-            self._asked_at[upstream] = now
+            self._fetched_at[upstream] = now
         reports = await asyncio.gather(*(self._fetch_report(a) for a in due.values()))
         self._reports.update(zip(due, reports, strict=True))
         inspection = _summarise(dict(zip(due, reports, strict=True)))
--- a/src/scalebend/edges/gateway/links.py
+++ b/src/scalebend/edges/gateway/links.py
@@ -85,10 +85,10 @@
 def _decompress(data: bytes) -> bytes:
     """Decompress ``data``; raise :class:`zlib.error` if damaged or too large."""
     stream = zlib.decompressobj()
-    whole = stream.decompress(data, MAX_FRAME_BYTES)
+    decompressed = stream.decompress(data, MAX_FRAME_BYTES)
     if not stream.eof:
         raise zlib.error("incomplete or too large")
-    return whole
+    return decompressed
 
 
 def read_introduction(data: bytes) -> InstanceId | None:
--- a/src/scalebend/edges/gateway/relay_server.py
+++ b/src/scalebend/edges/gateway/relay_server.py
@@ -110,7 +110,7 @@
         links = run_links(address, runtime.server, runtime.dialer, runtime.run())
         await stack.enter_async_context(links)
         await stack.enter_async_context(watch.watch_seeds(runtime.instance.set_seeds))
-        sock = Listeners().take(settings.control_address)
+        sock = Listeners().pop(settings.control_address)
         await stack.enter_async_context(listen(sock, runtime.handle))
         logger.info("relay listens", instance=settings.name)
         await stopped.wait()
--- a/src/scalebend/edges/gateway/service_choice.py
+++ b/src/scalebend/edges/gateway/service_choice.py
@@ -63,7 +63,7 @@
         has_others = len(limited) < len(candidates)
         timeout_s = 0.0 if has_others else compute_room_timeout(call, runtime.now())
         requested = _sample_limited(runtime, limited, endpoint.upstream)
-        permit = await runtime.request_send(requested, timeout_s)
+        permit = await runtime.request_send_permit(requested, timeout_s)
         if permit.upstream is not None:
             await asyncio.sleep(permit.wait)
             if instance.may_send(permit.upstream, runtime.now()):
--- a/src/scalebend/edges/gateway/sockets.py
+++ b/src/scalebend/edges/gateway/sockets.py
@@ -35,7 +35,7 @@
         with contextlib.suppress(OSError, ValueError):
             self.open(address)
 
-    def take(self, address: str) -> socket.socket:
+    def pop(self, address: str) -> socket.socket:
         """Return the socket of ``address``, opened if needed; the caller closes it."""
         self.open(address)
         return self._sockets.pop(address)
--- a/src/scalebend/edges/sse.py
+++ b/src/scalebend/edges/sse.py
@@ -38,9 +38,9 @@
         return self._assembler.next_offset
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the end of the response was delivered."""
-        return self._assembler.is_whole
+        return self._assembler.is_complete
 
     def restart(self) -> None:
         """Drop an incomplete event after the connection was lost."""
--- a/src/scalebend/measuring/batch_engine.py
+++ b/src/scalebend/measuring/batch_engine.py
@@ -99,7 +99,7 @@
 
     def begin_batch_step(self) -> float | None:
         """Begin a batch step and return its seconds; ``None`` if there is no work."""
-        selected = self._take_prefills()
+        selected = self._pop_prefills()
         if not selected and not self._decoding:
             return None
         self._current_step = selected
@@ -107,8 +107,8 @@
         steps = compute_batch_step_time(self._profile, contexts)
         return steps + sum(prefill.seconds for prefill in selected)
 
-    def _take_prefills(self) -> list[PrefillWork]:
-        """Take the prefill of one batch step from the queues and leave the rest."""
+    def _pop_prefills(self) -> list[PrefillWork]:
+        """Remove the prefill of one batch step from the queues and return it."""
         tokens_left = self._max_prefill_tokens
         selected = []
         while tokens_left > 0 and (self._grouped or self._ordinary):
--- a/src/scalebend/measuring/changes.py
+++ b/src/scalebend/measuring/changes.py
@@ -157,7 +157,7 @@
 
 
 def _execute_ready(member: ControlMember, journal: Journal, now: float) -> None:
-    while not (ready := member.take_ready(now)).is_empty:
+    while not (ready := member.collect_ready(now)).is_empty:
         if ready.persist is not None:
             journal.write(ready.persist)
         member.finish(ready, now)
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -283,7 +283,7 @@
         if instance is None or instance.control is None:
             return
         while True:
-            ready = instance.control.take_ready(self.now)
+            ready = instance.control.collect_ready(self.now)
             if ready.is_empty and not instance.control.has_outgoing:
                 return
             self._execute(name, instance.finish_control(ready, self.now, self.now))
--- a/src/scalebend/soak/observations.py
+++ b/src/scalebend/soak/observations.py
@@ -135,7 +135,7 @@
     """A routing document was read from a control instance."""
 
     version: RoutingVersion
-    asked_at: float
+    requested_at: float
     is_as_sent: bool
 
 
--- a/src/scalebend/soak/operator.py
+++ b/src/scalebend/soak/operator.py
@@ -92,7 +92,7 @@
 
     async def read(self, session: aiohttp.ClientSession) -> ReadBack | None:
         """Read the document from a random control instance, or return ``None``."""
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         control = self._chooser.choice(list(self._controls.values()))
         url = f"http://{control}{CONFIGURATION_PATH}"
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
@@ -102,7 +102,7 @@
                 body = await response.read()
                 version = decode_routing(body).version
                 is_as_sent = self._sent.get(version) == body
-                read = ReadBack(version, asked_at, is_as_sent)
+                read = ReadBack(version, requested_at, is_as_sent)
                 self._observations.reads.append(read)
                 return read
         return None
--- a/src/scalebend/soak/promises.py
+++ b/src/scalebend/soak/promises.py
@@ -226,9 +226,9 @@
 def _check_read_back(evidence: Evidence) -> Iterator[str]:
     """A document that is read is as sent, and not older than the acknowledged one."""
     for read in evidence.observations.reads:
-        expected = evidence.find_version(read.asked_at - CONFIGURATION_DELAY_S)
+        expected = evidence.find_version(read.requested_at - CONFIGURATION_DELAY_S)
         if read.version < expected:
-            yield f"version {read.version} at {read.asked_at:.3f}, not {expected}"
+            yield f"version {read.version} at {read.requested_at:.3f}, not {expected}"
         if not read.is_as_sent:
             yield f"version {read.version} is not what was sent"
 
@@ -237,7 +237,7 @@
     """The newest acknowledged document is still stored at the end."""
     expected = max((one.version for one in evidence.observations.accepted), default=0)
     last = evidence.observations.reads[-1] if evidence.observations.reads else None
-    if last is None or last.asked_at < evidence.observations.load_ended_at:
+    if last is None or last.requested_at < evidence.observations.load_ended_at:
         yield "no document could be read at the end"
     elif last.version < expected:
         yield f"version {last.version} at the end, not {expected}"
--- a/src/scalebend/soak/runner.py
+++ b/src/scalebend/soak/runner.py
@@ -106,7 +106,7 @@
         options.seed,
         violations,
         len(observations.caller_requests),
-        sum(asked.status == 200 for asked in observations.caller_requests.values()),
+        sum(request.status == 200 for request in observations.caller_requests.values()),
         len(observations.executions),
         len(observations.accepted),
         faults,
--- a/tests/lib/control_group.py
+++ b/tests/lib/control_group.py
@@ -102,7 +102,7 @@
         member = self.members.get(name)
         disk = self.disks[name]
         while member is not None:
-            ready = member.take_ready(self.now)
+            ready = member.collect_ready(self.now)
             if ready.is_empty and not member.has_outgoing:
                 break
             if crash_after == 0:
--- a/tests/lib/gateway_group.py
+++ b/tests/lib/gateway_group.py
@@ -28,7 +28,7 @@
     """Run a control instance until it has nothing more to write or do."""
     actions = []
     while True:
-        ready = instance.member.take_ready(now)
+        ready = instance.member.collect_ready(now)
         if ready.is_empty and not instance.member.has_outgoing:
             return actions
         actions += instance.finish(ready, now)
@@ -157,10 +157,10 @@
         reports = self.fronts[number].record_draining(upstream)
         self._send(self.names[number], reports or [])
 
-    def record_limit(self, front, heard):
+    def record_limit(self, front, observed):
         """Let a front receive a response that names a rate limit."""
         self._send(
-            self.names[self.fronts.index(front)], front.record_limit(heard, self.now)
+            self.names[self.fronts.index(front)], front.record_limit(observed, self.now)
         )
 
     def record_rejection(self, front, upstream):
--- a/tests/unit/gateway/test_start_gateway.py
+++ b/tests/unit/gateway/test_start_gateway.py
@@ -77,4 +77,4 @@
     second.try_open("nowhere")
     with pytest.raises(OSError, match="in use"):
         second.open(f"127.0.0.1:{port}")
-    first.take(f"127.0.0.1:{port}").close()
+    first.pop(f"127.0.0.1:{port}").close()
--- a/tests/unit/gateway/test_update_batch.py
+++ b/tests/unit/gateway/test_update_batch.py
@@ -54,7 +54,7 @@
     batch = UpdateBatch()
     assert batch.add([build_news(1)], 0.0) == [build_news(1)]
     assert batch.add([build_news(2)], BATCH_INTERVAL_S) == [build_news(2)]
-    assert batch.take_due(9.0) == []
+    assert batch.pop_due(9.0) == []
 
 
 def test_draining_or_gone_upstream_flushes_the_batch():
@@ -87,11 +87,11 @@
         expected.merge(one, now)
         sent = batch.add([one], now)
         if is_polled:
-            sent += batch.take_due(now)
+            sent += batch.pop_due(now)
         for news in sent:
             receiver.merge(news, now)
         if is_draining:
             assert sent[-1:] == [one]
-    for news in batch.take_due(now + BATCH_INTERVAL_S):
+    for news in batch.pop_due(now + BATCH_INTERVAL_S):
         receiver.merge(news, now)
     assert list_ids(receiver) == list_ids(expected)
--- a/tests/unit/test_consensus_rules.py
+++ b/tests/unit/test_consensus_rules.py
@@ -32,7 +32,7 @@
 
 def process_ready(replica):
     """Carry out the pending work; return the messages sent and the write."""
-    ready = replica.take_ready()
+    ready = replica.collect_ready()
     replica.confirm(ready)
     return [o.message for o in ready.messages], ready.persist
 
@@ -87,7 +87,7 @@
 def test_leader_counts_its_own_entries_only_once_they_are_durable():
     replica = build_replica()
     elect_leader(replica)
-    ready = replica.take_ready()
+    ready = replica.collect_ready()
     reply = AppendReply(B, replica.term, True, replica.log.last_index, 1)
     replica.handle(reply, AFTER_TIMEOUT)
     assert replica.commit_index == 0, "one durable copy of three is no quorum"
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -14,7 +14,7 @@
 def finish_all_ready(instance, now, wall):
     entries = []
     while True:
-        ready = instance.control.take_ready(now)
+        ready = instance.control.collect_ready(now)
         if ready.is_empty and not instance.control.has_outgoing:
             return entries
         entries += ready.committed
--- a/tests/unit/test_streams.py
+++ b/tests/unit/test_streams.py
@@ -26,7 +26,7 @@
     assert delivered == [b"%d" % n for n in range(len(delivered))]
     seen = set(order)
     whole = all(n in seen for n in range(12)) and end_at < len(order)
-    assert assembler.is_whole == whole
+    assert assembler.is_complete == whole
 
 
 @given(
@@ -54,7 +54,7 @@
             read_count += 1
         framer.restart()
     assert output == b"".join(events)
-    assert framer.is_whole
+    assert framer.is_complete
 
 
 @pytest.mark.parametrize(
