--- a/src/scalebend/core/gateway/event_cursor.py
+++ b/src/scalebend/core/gateway/event_cursor.py
@@ -47,7 +47,7 @@
     def feed(self, data: bytes) -> ForwardableEvents:
         """Add bytes; return the new events that are complete.
 
-        Raises :class:`GarbledEventsError` if an event is too long.
+        Raises :class:`GarbledEventsError` if an event exceeds the size limit.
         """
         data = self._pending + data
         accepted = []
--- a/src/scalebend/edges/gateway/control_runtime.py
+++ b/src/scalebend/edges/gateway/control_runtime.py
@@ -263,4 +263,4 @@
 
 def build_no_quorum_error() -> RefusedError:
     """Return the error for requests that the group cannot decide on now."""
-    return RefusedError("no quorum answered", kind=ErrorKind.NO_QUORUM)
+    return RefusedError("no quorum replied in time", kind=ErrorKind.NO_QUORUM)
