--- a/src/scalebend/core/consensus/replica.py
+++ b/src/scalebend/core/consensus/replica.py
@@ -35,10 +35,10 @@
 from scalebend.models.ids import InstanceId, LogIndex, Term
 
 HEARTBEAT_INTERVAL_S = 0.1
-"""Longest time between two messages from a leader to each member."""
+"""Maximum time between two messages from a leader to each member."""
 
 MIN_ROUND_INTERVAL_S = 0.01
-"""Shortest time between two messages to a member while a leadership confirmation is
+"""Minimum time between two messages to a member while a leadership confirmation is
 pending, so that one round serves several callers."""
 
 ELECTION_TIMEOUT_S = 0.45
--- a/src/scalebend/core/control_state.py
+++ b/src/scalebend/core/control_state.py
@@ -38,7 +38,7 @@
 """Accepted changes whose ids are kept to recognize a resent change."""
 
 MAX_CLOCK_STEP_S = 60.0
-"""Longest step by which one entry may advance the state's clock.
+"""Maximum step by which one entry may advance the state's clock.
 
 Keeps a leader whose wall clock jumped ahead from expiring every claim at once.
 """
--- a/src/scalebend/core/gateway/attempts.py
+++ b/src/scalebend/core/gateway/attempts.py
@@ -18,7 +18,7 @@
 here or from the lead replica."""
 
 MIN_REMAINING_S = 0.05
-"""Least time before the deadline for a new attempt: less would only add load."""
+"""Minimum time before the deadline for a new attempt: less would only add load."""
 
 
 class TryAgain(msgspec.Struct, frozen=True):
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -92,7 +92,7 @@
 
 MAX_BUSY_REPLICAS = 64
 """Busy replicas listed in a heartbeat, which bounds its size for any fleet. Fronts
-take replicas that are not listed for idle."""
+regard replicas that are not listed as idle."""
 
 
 class ControlInstance:
@@ -226,7 +226,7 @@
     def _may_grant(self, now: float) -> bool:
         """Whether no other instance can grant sends to rate-limited upstreams.
 
-        Without such upstreams it is enough to lead and to know the open jobs.
+        If no upstream is rate-limited, it suffices to lead and to know the open jobs.
         """
         if not self.is_leader or self.placement.is_learning(now):
             return False
--- a/src/scalebend/core/gateway/endpoint_directory.py
+++ b/src/scalebend/core/gateway/endpoint_directory.py
@@ -219,7 +219,7 @@
         return True
 
     def remove(self, upstream: UpstreamId, now: float) -> EndpointUpdate | None:
-        """Mark an incarnation as gone for good."""
+        """Mark an incarnation as permanently gone."""
         known = self._known.get(upstream)
         if known is None:
             return None
--- a/src/scalebend/core/gateway/engine_scheduler.py
+++ b/src/scalebend/core/gateway/engine_scheduler.py
@@ -42,12 +42,12 @@
 from scalebend.utils.decaying_maximum import DecayingMaximum
 
 MAX_PART_S = 1.0
-"""Prefill time of one part, if a group with such parts exists. Longer parts keep
-replicas from quick prompts that arrive meanwhile."""
+"""Maximum prefill time of one part if the prompt can be split into such parts. Longer
+parts would occupy replicas that quick prompts need."""
 
 PREFILL_OVERRUN_FACTOR = 1.25
-"""Times the predicted prefill time for which a part counts as unfinished, unless its
-first token is seen before: predictions leave out later arrivals."""
+"""A part counts as unfinished for this multiple of its predicted prefill time, unless
+its first token is seen earlier: predictions do not include later arrivals."""
 
 MISSING_END_GRACE_S = 1.0
 """Time after its deadline at which a job without a reported end is removed."""
@@ -57,8 +57,8 @@
 engine that rejects everything is idle and would be chosen first for each request."""
 
 UNCOORDINATED_MAX_PART_S = 0.140
-"""Prefill time of one part for an uncoordinated scheduler: two such parts on one
-replica still stay below a quick request's event gap."""
+"""Maximum prefill time of one part for an uncoordinated scheduler: two such parts on
+one replica still stay below a quick request's event gap."""
 
 QUICK_SPARE_SLOTS = 12
 """Slots reserved for quick requests beyond those recently in use: room for what arrives
--- a/src/scalebend/core/gateway/event_cursor.py
+++ b/src/scalebend/core/gateway/event_cursor.py
@@ -14,7 +14,7 @@
 _EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Largest incomplete event; a longer one is an error."""
+"""Maximum size of an incomplete event."""
 
 
 class GarbledEventsError(Exception):
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -69,7 +69,8 @@
 logger = structlog.get_logger(__name__)
 
 LEASE_REQUEST_INTERVAL_S = 0.4
-"""Far below the bound on revocation, so that several requests may be lost."""
+"""Interval of lease requests: far below the bound on revocation, so that several may be
+lost."""
 
 OUTCOME_REPORT_INTERVAL_S = 0.2
 """Interval of the reports of attempt outcomes, which bounds their rate under load."""
@@ -78,7 +79,8 @@
 """Interval at which expired jobs, replicas and crash records are removed."""
 
 ENDPOINT_TIMEOUT_S = 3600.0
-"""Long, because control instances tell fronts which upstreams are unresponsive."""
+"""Time without an update before an upstream expires at a front. It is long because
+control instances detect unresponsive upstreams and notify the fronts."""
 
 LEADER_TIMEOUT_S = 1.0
 """Without a message from the leader for this long, a front isn't ready and asks callers
@@ -522,7 +524,7 @@
         return self._send_to_leader(RejectionReport(upstream))
 
     def record_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
-        """Record and report how slow replicas say they are."""
+        """Record the paces that replicas reported, and send them to the leader."""
         for pace in paces:
             self.scheduler.record_pace(pace, now)
         return self._send_to_leader(ReplicaPaces(paces)) if paces else []
--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -83,7 +83,7 @@
             self._fronts = max(self._fronts, fronts)
 
     def record_leader_contact(self, now: float) -> None:
-        """Store that the leader was heard: uncoordinated sends begin only after it."""
+        """Record contact with the leader; uncoordinated sends begin only after it."""
         self._leader_seen_at = now
         if self._limits.count_limited():
             self._update_share(now)
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -36,7 +36,7 @@
 logger = structlog.get_logger(__name__)
 
 UPDATE_INTERVAL_S = 0.05
-"""Least time between two updates to all fronts: when a whole service becomes
+"""Minimum time between two updates to all fronts: when a whole service becomes
 overloaded, hundreds of responses say so at almost the same time."""
 
 LOST_FRONT_RETENTION_S = 60.0
--- a/src/scalebend/core/gateway/limited_placement.py
+++ b/src/scalebend/core/gateway/limited_placement.py
@@ -25,7 +25,7 @@
 from scalebend.models.routing import EngineProfile
 
 MAX_WAIT_S = REPLAN_INTERVAL_S
-"""Longest wait of a prompt for a send permit: after the replan period it would be
+"""Maximum wait of a prompt for a send permit: after the replan interval it would be
 placed anew and lose its position to later ones."""
 
 
--- a/src/scalebend/core/gateway/messages.py
+++ b/src/scalebend/core/gateway/messages.py
@@ -101,7 +101,7 @@
 
 
 class PlacementReply(msgspec.Struct, frozen=True, tag="PlaceAnswer"):
-    """Control instance to front; without placement and refusal if it isn't leader."""
+    """Control instance to front: placement or refusal; neither if not the leader."""
 
     job: JobId
     placement: Placement | None = None
@@ -121,7 +121,7 @@
 
 
 class ReplicaPaces(msgspec.Struct, frozen=True, tag=True):
-    """Front to leader: how slow replicas say they are."""
+    """Front to leader: the paces that replicas reported."""
 
     paces: list[ReplicaPace]
 
--- a/src/scalebend/core/gateway/outlier_detector.py
+++ b/src/scalebend/core/gateway/outlier_detector.py
@@ -20,11 +20,11 @@
 shorter than most faults last."""
 
 MIN_FAILURES = 2.5
-"""Least decayed number of failures for an ejection: healthy replicas also fail a few
+"""Minimum decayed number of failures for an ejection: healthy replicas also fail a few
 requests, sometimes two in a row."""
 
 MIN_FAILURE_SHARE = 0.5
-"""Least share of an upstream's outcomes that are failures for an ejection."""
+"""Minimum share of an upstream's outcomes that are failures for an ejection."""
 
 FIRST_EJECTION_S = 2.0
 MAX_EJECTION_S = 8.0
--- a/src/scalebend/core/gateway/placement_choice.py
+++ b/src/scalebend/core/gateway/placement_choice.py
@@ -54,7 +54,7 @@
 stays below the event gap of long responses."""
 
 PREDICTION_SLACK = 1.5
-"""Times the target up to which a predicted first token may still turn out on time:
+"""A first token predicted within this multiple of the target may still be on time:
 predictions are conservative, and queued prompts are placed again."""
 
 MAX_LATE_PREFILL_S = 6.0
@@ -72,8 +72,8 @@
 NO_MEMORY_RETRY_S = 0.5
 MIN_LATE_RETRY_S = 0.3
 MAX_LATE_RETRY_S = 2.0
-"""`Retry-After` of a declined request: no replica is known, no memory is free, or it
-would be late, where it follows the predicted lateness between these bounds."""
+"""`Retry-After` of a declined request if no replica is known or no memory is free. If
+the request would be late, it is the predicted lateness within the two bounds."""
 
 
 class Plan(msgspec.Struct, frozen=True):
--- a/src/scalebend/core/gateway/replica_load.py
+++ b/src/scalebend/core/gateway/replica_load.py
@@ -28,8 +28,8 @@
 response."""
 
 FIRST_TOKEN_GRACE_S = 0.0
-"""Time after the latest expected first token from which a replica is avoided while
-another fits: other schedulers may have placed jobs there."""
+"""Time by which a first token may be late before its replica is avoided, if another
+fits: other schedulers may have placed jobs there."""
 
 AVOID_UNHEALTHY_S = 2.0
 """Time for which a replica that refused a connection or was unresponsive is avoided."""
--- a/src/scalebend/core/gateway/timeouts.py
+++ b/src/scalebend/core/gateway/timeouts.py
@@ -13,7 +13,7 @@
 """Time for which a leader that did not reply in time gets no placement requests."""
 
 MIN_FIRST_BYTE_S = 1.2
-"""Least timeout for the first byte."""
+"""Minimum timeout for the first byte."""
 
 FIRST_BYTE_FACTOR = 6.0
 """Timeout for the first byte as a multiple of the predicted time to the first token:
@@ -24,7 +24,7 @@
 """Added to the timeout for the first byte, for work unknown to the scheduler."""
 
 MIN_EVENT_GAP_S = 1.0
-"""Least timeout between two events: callers give up a stream after twice as long."""
+"""Minimum timeout between two events: callers give up a stream after twice as long."""
 
 EVENT_GAP_FACTOR = 4.0
 """Timeout between two events as a multiple of the route's event gap."""
@@ -66,5 +66,5 @@
 
 
 def compute_inspection_delay(predicted: float) -> float:
-    """Seconds without a first token after which the replicas are asked for reports."""
+    """Seconds without a first token after which reports of the replicas are fetched."""
     return INSPECTION_FACTOR * predicted + INSPECTION_MARGIN_S
--- a/src/scalebend/core/gateway/update_batch.py
+++ b/src/scalebend/core/gateway/update_batch.py
@@ -1,8 +1,8 @@
 """Batches updates of upstreams that go to many processes.
 
 When a deployment starts, all upstreams register within one heartbeat, and each control
-instance sends every change to every front. Batching bounds the number of messages. An
-update that comes alone is sent immediately.
+instance sends every change to every front. Batching bounds the number of messages. A
+single update is sent immediately.
 """
 
 from __future__ import annotations
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -56,7 +56,7 @@
 """Share of a replica's memory that long prompts may not use."""
 
 PREFILL_WINDOW_S = 0.2
-"""Prefill work, in engine time, that may be granted before the engine finishes it."""
+"""Unfinished prefill work, in engine time, from which on no more is granted."""
 
 OVERDUE_FACTOR = 1.5
 """Multiple of its duration on an idle engine after which a prefill is overdue."""
--- a/src/scalebend/core/placement.py
+++ b/src/scalebend/core/placement.py
@@ -42,7 +42,7 @@
 """Replicas that may prefill one prompt together."""
 
 GROUP_RESERVATION_TIMEOUT_S = 20.0
-"""Limits the wait for a reservation while others of its group are held."""
+"""Maximum wait for a reservation while other replicas of its group are reserved."""
 
 
 class PlacedAttempt(msgspec.Struct):
--- a/src/scalebend/core/retries.py
+++ b/src/scalebend/core/retries.py
@@ -12,13 +12,13 @@
 """Retries that each first attempt adds to the budget."""
 
 MAX_BUDGET_RETRIES = 50.0
-"""Largest budget, in retries."""
+"""Maximum budget, in retries."""
 
 INITIAL_BUDGET_RETRIES = 10.0
 """Budget of an instance at its start."""
 
 FIRST_DELAY_S = 0.05
-"""Longest delay before the first retry; doubles with each retry."""
+"""Maximum delay before the first retry; doubles with each retry."""
 
 MAX_DELAY_S = 2.0
 
--- a/src/scalebend/core/send_budget.py
+++ b/src/scalebend/core/send_budget.py
@@ -24,16 +24,16 @@
 from scalebend.models.ids import UpstreamId
 
 BURST_S = 0.25
-"""Burst after an idle time, in seconds at the limit, and one request at least: requests
-arrive at random, so evenly spaced permits would often go unused."""
+"""Burst after an idle time: the requests allowed in this time, but at least one. Since
+requests arrive at random, evenly spaced permits would often go unused."""
 
 PERMIT_LIFETIME_S = 1.0
-"""Least time for which an uncoordinated send permit is valid; at low rates it is the
+"""Minimum time for which an uncoordinated send permit is valid; at low rates it is the
 interval of the limit. Permits that never expired could be used by many fronts at once.
 """
 
 MIN_RATE_PER_S = 1.0 / 30.0
-"""Least rate, even for an upstream that takes less or nothing: only a response shows
+"""Minimum rate, even for an upstream that takes less or nothing: only a response shows
 that its limit has ended."""
 
 
--- a/src/scalebend/core/upstream_backoff.py
+++ b/src/scalebend/core/upstream_backoff.py
@@ -13,7 +13,7 @@
 from scalebend.models.ids import UpstreamId
 
 MAX_BACKOFF_S = 3600.0
-"""Longest backoff that is respected: an erroneous value must not exclude an upstream
+"""Maximum backoff that is respected: an erroneous value must not exclude an upstream
 for good."""
 
 
--- a/src/scalebend/core/upstream_updates.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -33,7 +33,8 @@
 """Times that the owner sends a cache event rumor."""
 
 MAX_CACHE_EVENT_HASHES = 64
-"""Most hashes in a cache event that is sent; others see a longer one as a gap."""
+"""Maximum number of hashes in a cache event that is sent. A longer one is not sent, and
+the other instances see a gap in the sequence."""
 
 UpdateAction = EntryAction | OwnerAction
 
--- a/src/scalebend/core/usage_exchange.py
+++ b/src/scalebend/core/usage_exchange.py
@@ -10,7 +10,7 @@
 from scalebend.models.ids import CustomerId, InstanceId
 
 MAX_HOMES_PER_INTERVAL = 4
-"""Homes that receive a report per period, in rotation."""
+"""Homes that receive a report per interval, in rotation."""
 
 
 class UsageExchange:
@@ -47,7 +47,7 @@
                 report.usages.append(usages[customer])
             if customer in opens:
                 report.open.append(OpenRequestCount(customer, opens[customer]))
-        # Homes rotate, so that the cost per period does not grow with customers.
+        # Homes rotate, so that the cost per interval does not grow with customers.
         ordered = sorted(reports)
         start = self._next_home % max(1, len(ordered))
         chosen = (ordered[start:] + ordered[:start])[:MAX_HOMES_PER_INTERVAL]
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -62,7 +62,7 @@
 
 
 class StreamBrokenError(Exception):
-    """A stream that has already been started to the caller cannot be completed."""
+    """A stream broke after a part of it had been forwarded to the caller."""
 
 
 class _AttemptResult(msgspec.Struct, frozen=True):
--- a/src/scalebend/edges/gateway/inspection.py
+++ b/src/scalebend/edges/gateway/inspection.py
@@ -27,7 +27,7 @@
 """Timeout of a report, which needs no slot at the replica."""
 
 REPEAT_INTERVAL_S = 0.9
-"""Least time between two reports of the same replica to this front."""
+"""Minimum time between two reports of the same replica to this front."""
 
 REPORT_LIFETIME_S = 2.0
 """Time after which a report is stale."""
--- a/src/scalebend/edges/gateway/response_headers.py
+++ b/src/scalebend/edges/gateway/response_headers.py
@@ -1,4 +1,4 @@
-"""Applies what an upstream says about itself in the head of a response."""
+"""Applies the status that an upstream reports in the headers of a response."""
 
 from __future__ import annotations
 
--- a/src/scalebend/edges/gateway/response_reading.py
+++ b/src/scalebend/edges/gateway/response_reading.py
@@ -15,7 +15,7 @@
 import aiohttp
 
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
-"""Largest body of a response that is buffered before it is forwarded."""
+"""Maximum size of a response body that is buffered before it is forwarded."""
 
 MIN_STALL_S = 0.2
 """Delay of a timer that shows a stall: far more than one busy iteration of the event
