--- a/src/scalebend/core/gateway/engine_scheduler.py
+++ b/src/scalebend/core/gateway/engine_scheduler.py
@@ -177,8 +177,8 @@
             [u for u, r in self._replicas.items() if now < r.avoid_until],
         )
 
-    def list_busy(self, now: float, most: int) -> list[BusyReplica]:
-        """List the ``most`` busiest replicas, for uncoordinated schedulers."""
+    def list_busy(self, now: float, max_count: int) -> list[BusyReplica]:
+        """List the ``max_count`` busiest replicas, for uncoordinated schedulers."""
         busy = []
         for upstream, replica in self._replicas.items():
             prefill_left = 0.0
@@ -195,7 +195,7 @@
                 )
                 busy.append(report)
         busy.sort(key=lambda one: (-one.pace, -one.prefill_s, -one.decoding))
-        return busy[:most]
+        return busy[:max_count]
 
     def record_busy_replicas(self, busy: list[BusyReplica], now: float) -> None:
         """Replace the load that another scheduler reported."""
--- a/src/scalebend/edges/gateway/forwarder.py
+++ b/src/scalebend/edges/gateway/forwarder.py
@@ -36,8 +36,8 @@
 from scalebend.models.routing import RouteKind
 from scalebend.platform.headers import (
     build_upstream_headers,
-    copy_answer_headers,
-    read_answer_headers,
+    copy_response_headers,
+    read_response_headers,
 )
 
 logger = structlog.get_logger(__name__)
@@ -285,7 +285,7 @@
         limit = self._record_sent(target)
         response = await self._wait_for_head(target, sending, read_timeout)
         async with response:
-            head = read_answer_headers(response.status, response.headers)
+            head = read_response_headers(response.status, response.headers)
             apply_response_head(self._runtime, call, limit, head)
             return await self._process_response(
                 target, running, response, head, read_timeout
@@ -369,7 +369,7 @@
         forwarded = web.Response(
             status=response.status,
             reason=response.reason,
-            headers=copy_answer_headers(response.headers),
+            headers=copy_response_headers(response.headers),
             body=body,
         )
         if response.status >= 500:
@@ -430,7 +430,7 @@
         stream = web.StreamResponse(
             status=response.status,
             reason=response.reason,
-            headers=copy_answer_headers(response.headers),
+            headers=copy_response_headers(response.headers),
         )
         if self._runtime.is_closing_connections():
             stream.force_close()
--- a/src/scalebend/edges/gateway/metrics.py
+++ b/src/scalebend/edges/gateway/metrics.py
@@ -14,7 +14,7 @@
     generate_latest,
 )
 
-LATENCY_BUCKETS = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 5.0, 10.0, 15.0)
+LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 1.5, 3.0, 5.0, 10.0, 15.0)
 """Bounds in seconds; they include the latency targets of the deployments."""
 
 
@@ -46,14 +46,14 @@
             "scalebend_first_event_seconds",
             "Time to the first event of a stream, by prompt size",
             ["size"],
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
         self._duration = Histogram(
             "scalebend_request_seconds",
             "Time to the end of the answer, by route kind",
             ["kind"],
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
         self._lost_requests = Counter(
--- a/src/scalebend/platform/headers.py
+++ b/src/scalebend/platform/headers.py
@@ -168,7 +168,7 @@
     return headers
 
 
-def build_answer_headers(
+def build_response_headers(
     request: str,
     seal: str | None,
     *,
@@ -192,7 +192,7 @@
     return headers
 
 
-def read_answer_headers(status: int, headers: Mapping[str, str]) -> ResponseHeaders:
+def read_response_headers(status: int, headers: Mapping[str, str]) -> ResponseHeaders:
     """Decode the headers of an upstream's response."""
     # 421 (Misdirected Request): the address now belongs to another upstream, which did
     # not run the request.
@@ -212,7 +212,7 @@
     )
 
 
-def copy_answer_headers(received: CIMultiDictProxy[str]) -> CIMultiDict[str]:
+def copy_response_headers(received: CIMultiDictProxy[str]) -> CIMultiDict[str]:
     """Return an upstream's response headers without the hop-by-hop ones."""
     copied: CIMultiDict[str] = CIMultiDict()
     for name, value in received.items():
--- a/src/scalebend/soak/replicas.py
+++ b/src/scalebend/soak/replicas.py
@@ -36,7 +36,7 @@
     HELPERS,
     LAST_EVENT,
     REQUEST_ID,
-    build_answer_headers,
+    build_response_headers,
     read_caller_headers,
 )
 from scalebend.platform.orders import ORDER_PATH, MemoryOrder, decode_order
@@ -165,7 +165,7 @@
         expected = request.headers.get(EXPECTED_UPSTREAM)
         if expected not in (None, get_upstream_name(self._id)):
             return web.Response(
-                status=421, headers=build_answer_headers(request_id, None)
+                status=421, headers=build_response_headers(request_id, None)
             )
         if self.backoff is not None:
             return self._reject(request_id, self.backoff)
@@ -203,7 +203,7 @@
         self, request_id: str, backoff: float | None = None
     ) -> web.Response:
         # Rejections, too, announce the rate limit and a drain.
-        not_run_headers = build_answer_headers(
+        not_run_headers = build_response_headers(
             request_id,
             None,
             has_not_run=True,
@@ -220,7 +220,7 @@
             "of-another" if self.mode is ReplicaMode.FOREIGN_ID else request_id
         )
         seal = f"{self._id}/{request_id}"
-        headers = build_answer_headers(
+        headers = build_response_headers(
             response_id,
             seal,
             rate_limit=self.rate_limit,
--- a/tests/functional/test_upstream_backoff.py
+++ b/tests/functional/test_upstream_backoff.py
@@ -12,7 +12,7 @@
 import pytest
 from aiohttp import web
 
-from scalebend.platform.headers import build_answer_headers
+from scalebend.platform.headers import build_response_headers
 from tests.lib.gateway_load import FRONT, Load, keep_registered
 from tests.lib.gateway_system import SERVICE, run_system
 from tests.lib.platform_replicas import Replica, build_document
@@ -71,7 +71,7 @@
         if self.backoff_s is not None:
             await request.read()
             self.rejections.append(Arrival(front, time.monotonic()))
-            headers = build_answer_headers(
+            headers = build_response_headers(
                 name, None, has_not_run=True, backoff=self.backoff_s
             )
             return web.Response(status=503, headers=headers)
--- a/tests/unit/gateway/test_backoff.py
+++ b/tests/unit/gateway/test_backoff.py
@@ -12,7 +12,7 @@
 from scalebend.models.ids import UpstreamId
 from scalebend.models.placement import Declined
 from scalebend.models.routing import RouteKind
-from scalebend.platform.headers import build_answer_headers
+from scalebend.platform.headers import build_response_headers
 from tests.lib.front import answer_sealed, run_front, serve
 from tests.lib.gateway_builders import (
     PROFILE,
@@ -72,7 +72,7 @@
 async def test_backoff_and_draining_are_logged():
     async def reject(request):
         name = request.headers["X-Request-Id"]
-        headers = build_answer_headers(
+        headers = build_response_headers(
             name, "s", has_not_run=True, backoff=1.5, is_draining=True
         )
         return web.Response(status=503, headers=headers)
@@ -100,7 +100,7 @@
             return await answer_sealed(request)
         name = request.headers["X-Request-Id"]
         left = self.until - now
-        headers = build_answer_headers(name, None, has_not_run=True, backoff=left)
+        headers = build_response_headers(name, None, has_not_run=True, backoff=left)
         return web.Response(status=503, headers=headers)
 
 
@@ -159,7 +159,7 @@
     async def disconnect(request):
         resumed.append(request.headers.get("Last-Event-Id"))
         name = request.headers["X-Request-Id"]
-        answer = web.StreamResponse(headers=build_answer_headers(name, "s"))
+        answer = web.StreamResponse(headers=build_response_headers(name, "s"))
         answer.content_type = "text/event-stream"
         await answer.prepare(request)
         await answer.write(b"id: 1\ndata: 1\n\n")
--- a/tests/unit/gateway/test_draining_in_responses.py
+++ b/tests/unit/gateway/test_draining_in_responses.py
@@ -5,7 +5,7 @@
 
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.models.endpoints import EndpointUpdate, build_upstream_id
-from scalebend.platform.headers import build_answer_headers
+from scalebend.platform.headers import build_response_headers
 from tests.lib.front import run_front, serve
 from tests.lib.gateway_builders import build_endpoint, build_quick, build_routing
 from tests.lib.gateway_group import build_deployment
@@ -85,7 +85,7 @@
     async def respond(request):
         name = request.headers["X-Request-Id"]
         arrived.append(name)
-        headers = build_answer_headers(name, "s", is_draining=True)
+        headers = build_response_headers(name, "s", is_draining=True)
         return web.Response(headers=headers, body=b"done")
 
     async with run_front(build_routing()) as front, serve(respond) as address:
--- a/tests/unit/gateway/test_foreign_messages.py
+++ b/tests/unit/gateway/test_foreign_messages.py
@@ -7,7 +7,7 @@
 
 from scalebend.exceptions import DocumentError, ErrorKind, RequestError
 from scalebend.models.endpoints import MAX_NAME_CHARS, MAX_SLOTS, Deregistration
-from scalebend.platform.headers import read_answer_headers
+from scalebend.platform.headers import read_response_headers
 from scalebend.platform.registrations import decode_deregistration, decode_registration
 from scalebend.platform.reports import decode_report
 from tests.lib.gateway_builders import SERVICE, build_routing
@@ -139,21 +139,21 @@
     "text", ["", "1,2", "1,2,3,4", "a,b,c", "-1,0,8", "1,2,0", "1, 2,8", "9999999,0,8"]
 )
 def test_invalid_load_is_ignored(text):
-    assert read_answer_headers(200, {"X-Server-Load": text}).load is None
+    assert read_response_headers(200, {"X-Server-Load": text}).load is None
 
 
 @pytest.mark.parametrize(
     "text", ["", "-1", "1e3", "nan", "inf", "1,5", " 2", "2 ", "+2", "x", "9" * 10]
 )
 def test_invalid_rate_limit_is_ignored(text):
-    assert read_answer_headers(200, {"Server-Limit": text}).rate_limit is None
+    assert read_response_headers(200, {"Server-Limit": text}).rate_limit is None
 
 
 @pytest.mark.parametrize(
     "text", ["", "-1", "1e3", "nan", "9" * 10, "Wed, 21 Oct 2026 07:28:00 GMT"]
 )
 def test_invalid_backoff_is_unreadable(text):
-    read = read_answer_headers(503, {"Retry-After": text})
+    read = read_response_headers(503, {"Retry-After": text})
     assert read.backoff is None
     assert read.has_unreadable_backoff
 
--- a/tests/unit/gateway/test_platform.py
+++ b/tests/unit/gateway/test_platform.py
@@ -19,9 +19,9 @@
 from scalebend.models.routing import RouteKind
 from scalebend.platform.headers import (
     build_upstream_headers,
-    copy_answer_headers,
-    read_answer_headers,
+    copy_response_headers,
     read_caller_headers,
+    read_response_headers,
 )
 from scalebend.platform.orders import (
     MemoryOrder,
@@ -179,24 +179,26 @@
 
 
 def test_response_headers():
-    read = read_answer_headers(503, {"X-Not-Executed": "1", "At-Server": "10.0.0.1:1"})
+    read = read_response_headers(
+        503, {"X-Not-Executed": "1", "At-Server": "10.0.0.1:1"}
+    )
     assert read.has_not_run
     assert read.faulty_address == "10.0.0.1:1"
-    assert read_answer_headers(421, {}).has_not_run
-    assert not read_answer_headers(500, {"X-Server-Load": "1,2"}).has_not_run
-    load = read_answer_headers(200, {"X-Server-Load": "3,0,8"}).load
+    assert read_response_headers(421, {}).has_not_run
+    assert not read_response_headers(500, {"X-Server-Load": "1,2"}).has_not_run
+    load = read_response_headers(200, {"X-Server-Load": "3,0,8"}).load
     assert (load.running, load.waiting, load.slots) == (3, 0, 8)
-    assert read_answer_headers(200, {"Server-Limit": "1.25"}).rate_limit == 1.25
-    assert read_answer_headers(503, {"Server-Limit": "0"}).rate_limit == 0.0
-    assert read_answer_headers(200, {}).rate_limit == UNLIMITED
+    assert read_response_headers(200, {"Server-Limit": "1.25"}).rate_limit == 1.25
+    assert read_response_headers(503, {"Server-Limit": "0"}).rate_limit == 0.0
+    assert read_response_headers(200, {}).rate_limit == UNLIMITED
     # 421: the response is from another upstream at this address.
-    assert read_answer_headers(421, {"Server-Limit": "3"}).rate_limit is None
-    assert not read_answer_headers(421, {"Server-Leaving": "1"}).is_draining
-    assert read_answer_headers(200, {"Server-Leaving": "1"}).is_draining
-    assert not read_answer_headers(200, {"Server-Leaving": "0"}).is_draining
-    assert read_answer_headers(503, {"Retry-After": "2.5"}).backoff == 2.5
-    assert read_answer_headers(200, {"Retry-After": "2.5"}).backoff is None
-    kept = copy_answer_headers(
+    assert read_response_headers(421, {"Server-Limit": "3"}).rate_limit is None
+    assert not read_response_headers(421, {"Server-Leaving": "1"}).is_draining
+    assert read_response_headers(200, {"Server-Leaving": "1"}).is_draining
+    assert not read_response_headers(200, {"Server-Leaving": "0"}).is_draining
+    assert read_response_headers(503, {"Retry-After": "2.5"}).backoff == 2.5
+    assert read_response_headers(200, {"Retry-After": "2.5"}).backoff is None
+    kept = copy_response_headers(
         CIMultiDictProxy(CIMultiDict({"Connection": "close", "X-Server-Seal": "s"}))
     )
     assert dict(kept) == {"X-Server-Seal": "s"}
--- a/tests/unit/gateway/test_unknown_headers.py
+++ b/tests/unit/gateway/test_unknown_headers.py
@@ -4,23 +4,23 @@
 from structlog.testing import capture_logs
 
 from scalebend.edges.gateway.front_runtime import MAX_UNKNOWN_HEADERS
-from scalebend.platform.headers import build_answer_headers, read_answer_headers
+from scalebend.platform.headers import build_response_headers, read_response_headers
 from tests.lib.front import run_front, serve
 from tests.lib.gateway_builders import build_routing
 
 
 def test_headers_in_use_are_known():
-    headers = build_answer_headers(
+    headers = build_response_headers(
         "r", "seal", has_not_run=True, rate_limit=1.0, backoff=1.0, is_draining=True
     )
     headers["X-Server-Load"] = "1,0,8"
     headers["Server"] = "engine/1"
-    assert read_answer_headers(200, headers).unknown_headers == ()
+    assert read_response_headers(200, headers).unknown_headers == ()
 
 
 async def test_unknown_header_is_counted_and_logged_once_without_its_value():
     async def respond(request):
-        headers = build_answer_headers(request.headers["X-Request-Id"], "s")
+        headers = build_response_headers(request.headers["X-Request-Id"], "s")
         headers["Server-Mood"] = "secret"
         return web.Response(headers=headers, body=b"done")
 
