--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -35,8 +35,8 @@
 
 logger = structlog.get_logger(__name__)
 
-UPDATE_PERIOD_S = 0.05
-"""Least time between two updates to all fronts: when a whole service becomes
+UPDATE_INTERVAL_S = 0.05
+"""Minimum time between two updates to all fronts: when a whole service becomes
 overloaded, hundreds of responses say so at almost the same time."""
 
 LOST_FRONT_RETENTION_S = 60.0
@@ -113,10 +113,10 @@
     # Updates
 
     def receive(
-        self, front: InstanceId, reported: Iterable[ObservedLimit], now: float
+        self, front: InstanceId, observed: Iterable[ObservedLimit], now: float
     ) -> None:
         """Apply limits that a front read in responses."""
-        for one in reported:
+        for one in observed:
             changed = self.limits.apply(one)
             if changed is not None:
                 self._record_change(changed, front, now)
@@ -147,7 +147,7 @@
         is_due = self._changed or (self._has_new_positions and self.has_limits)
         if not is_due or now < self._send_at:
             return []
-        self._send_at = now + UPDATE_PERIOD_S
+        self._send_at = now + UPDATE_INTERVAL_S
         actions = self._send_positions() if self._has_new_positions else []
         if self._changed:
             # One message object for all fronts, so that it is encoded once.
