--- a/src/scalebend/commands/status.py
+++ b/src/scalebend/commands/status.py
@@ -1,4 +1,4 @@
-"""``scalebend status``."""
+"""``scalebend status``: prints the state of the cluster as one instance sees it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from scalebend.commands.client import AnswerError, fetch, report
+from scalebend.commands.client import RequestError, fetch, report_error
 from scalebend.edges.admin import Status
 
 
 def run(*, url: str, key: str, as_json: bool) -> int:
-    """Print what an instance knows."""
+    """Print the state that an instance reports."""
     try:
         status = asyncio.run(fetch("GET", f"{url}/admin/status", key, Status))
-    except AnswerError as error:
-        return report(error)
+    except RequestError as error:
+        return report_error(error)
     if as_json:
         print(msgspec.json.encode(status).decode())
         return 0
@@ -28,7 +28,7 @@
     for item in status.instances:
         print(
             f"  {item.instance:<20} {item.availability_zone:<14} {item.state:<8} "
-            f"version {item.version:<6} heard {item.heard:.1f} s ago"
+            f"version {item.version:<6} heard {item.last_contact_age_s:.1f} s ago"
         )
     for upstream in status.upstreams:
         print(
--- a/src/scalebend/core/gateway/control_instance.py
+++ b/src/scalebend/core/gateway/control_instance.py
@@ -53,7 +53,7 @@
 from scalebend.core.gateway.route_table import RouteTable
 from scalebend.core.gateway.routing_push import RoutingPush
 from scalebend.core.gateway.routing_store import unpack_routing
-from scalebend.core.gateway.upstream_exchange import UpstreamExchange, UpstreamUpdates
+from scalebend.core.gateway.upstream_exchange import DirectoryUpdates, UpstreamExchange
 from scalebend.core.messages import (
     FoundGroup,
     Hello,
@@ -92,7 +92,7 @@
 
 MAX_BUSY_REPLICAS = 64
 """Busy replicas listed in a heartbeat, which bounds its size for any fleet. Fronts
-take replicas that are not listed for idle."""
+regard replicas that are not listed as idle."""
 
 
 class ControlInstance:
@@ -209,7 +209,7 @@
             # missing registrations say nothing about the upstreams.
             self._expire_at = now + EXPIRY_INTERVAL_S
             actions += self._send_updates(self.upstreams.expire(now))
-        actions += self._send_updates(self.upstreams.take_due(now))
+        actions += self._send_updates(self.upstreams.pop_due(now))
         actions += self._send_crashes(now)
         actions += self.limits.send_due(now, is_leader=self.is_leader)
         return actions
@@ -226,7 +226,7 @@
     def _may_grant(self, now: float) -> bool:
         """Whether no other instance can grant sends to rate-limited upstreams.
 
-        Without such upstreams it is enough to lead and to know the open jobs.
+        If no upstream is rate-limited, it suffices to lead and to know the open jobs.
         """
         if not self.is_leader or self.placement.is_learning(now):
             return False
@@ -301,8 +301,8 @@
             case CrashUpdates():
                 self.crashes.receive(message, now)
                 return self._send_crashes(now)
-            case ObservedLimits(heard):
-                self.limits.receive(front, heard, now)
+            case ObservedLimits(observed):
+                self.limits.receive(front, observed, now)
             case LimitUpdates(limits):
                 self.limits.merge(front, limits, now)
             case RejectionReport(upstream):
@@ -395,7 +395,7 @@
         departure = Deregistration(name, born)
         return self._send_updates(self.upstreams.deregister(departure, now))
 
-    def _send_updates(self, updates: UpstreamUpdates) -> list[ControlAction]:
+    def _send_updates(self, updates: DirectoryUpdates) -> list[ControlAction]:
         actions: list[ControlAction] = []
         if updates.to_peers:
             # All peers share one message, which is then encoded only once.
@@ -462,7 +462,7 @@
 
     def _reply_to_freshness_requests(self, now: float) -> list[ControlAction]:
         replica = self.member.replica
-        confirmed = self._freshness_requests.take_confirmed(
+        confirmed = self._freshness_requests.pop_confirmed(
             replica.compute_confirmed_at(now), now, is_leader=self.is_leader
         )
         urgent_at = self._freshness_requests.find_urgent()
--- a/src/scalebend/core/gateway/event_cursor.py
+++ b/src/scalebend/core/gateway/event_cursor.py
@@ -14,7 +14,7 @@
 _EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)")
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Largest incomplete event; a longer one is an error."""
+"""Maximum size of an incomplete event."""
 
 
 class GarbledEventsError(Exception):
@@ -47,7 +47,7 @@
     def feed(self, data: bytes) -> ForwardableEvents:
         """Add bytes; return the new events that are complete.
 
-        Raises :class:`GarbledEventsError` if an event is too long.
+        Raises :class:`GarbledEventsError` if an event exceeds the size limit.
         """
         data = self._pending + data
         accepted = []
--- a/src/scalebend/core/upstream_updates.py
+++ b/src/scalebend/core/upstream_updates.py
@@ -33,7 +33,8 @@
 """Times that the owner sends a cache event rumor."""
 
 MAX_CACHE_EVENT_HASHES = 64
-"""Most hashes in a cache event that is sent; others see a longer one as a gap."""
+"""Maximum number of hashes in a cache event that is sent. A longer one is not sent, and
+the other instances see a gap in the sequence."""
 
 UpdateAction = EntryAction | OwnerAction
 
@@ -79,7 +80,7 @@
     def advance(self, now: float) -> list[UpdateAction]:
         """Run the owners' timers; remove upstreams whose announcements expired."""
         actions: list[UpdateAction] = []
-        for record in self._entry.crashes.take_updates():
+        for record in self._entry.crashes.pop_updates():
             self._spread_crash(record)
         self._entry.crashes.ledger.expire(now)
         for upstream, owner in self._owners:
@@ -172,7 +173,7 @@
             known = (record.announcement.incarnation, record.announcement.sequence)
         if update < known:
             return []
-        if self._owners.is_mine(upstream):
+        if self._owners.is_local(upstream):
             # The owner relies on announcements; a rumor only adds an upstream that
             # has not announced itself here yet.
             if record is None and not is_gone:
@@ -190,7 +191,7 @@
 
     def _apply_digest_rumor(self, rumor: DigestRumor) -> None:
         upstream = rumor.digest.upstream
-        if self._owners.is_mine(upstream):
+        if self._owners.is_local(upstream):
             return
         if self._digest_sequences.get(upstream, -1) >= rumor.sequence:
             return
@@ -234,6 +235,6 @@
             actions += self._apply_upstream_rumor(announcement, False, now)
         self._entry.crashes.ledger.merge(page.crashes, now)
         for digest in page.digests:
-            if not self._owners.is_mine(digest.upstream):
+            if not self._owners.is_local(digest.upstream):
                 self._entry.apply_digest(digest)
         return actions
--- a/src/scalebend/edges/gateway/front_calls.py
+++ b/src/scalebend/edges/gateway/front_calls.py
@@ -18,7 +18,7 @@
 from scalebend.edges.gateway.sockets import Listeners
 from scalebend.edges.gateway.upstream_choice import DEFAULT_RETRY_AFTER_S
 from scalebend.edges.gateway.upstream_client import open_upstream_sessions
-from scalebend.edges.problems import build_problem_body
+from scalebend.edges.problems import build_problem_response
 from scalebend.exceptions import (
     ErrorKind,
     Ran,
@@ -244,7 +244,7 @@
 def _build_error_response(
     error: ScalebendError, headers: CallerHeaders
 ) -> web.Response:
-    response = build_problem_body(error, headers.request)
+    response = build_problem_response(error, headers.request)
     if headers.request:
         response.headers[REQUEST_ID] = headers.request
     if error.retry_after is not None and error.ran is Ran.NO:
@@ -270,8 +270,8 @@
         return web.Response(status=200 if is_ready else 503)
 
     handler = CallerHandler(runtime)
-    callers = listeners.take(settings.callers_address)
-    readiness = listeners.take(settings.readiness_address)
+    callers = listeners.pop(settings.callers_address)
+    readiness = listeners.pop(settings.readiness_address)
     async with (
         open_upstream_sessions() as sessions,
         runtime.use_sessions(sessions),
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -25,7 +25,7 @@
     SendPermitRequest,
 )
 from scalebend.core.gateway.placement_aging import (
-    REPLAN_PERIOD_S,
+    REPLAN_INTERVAL_S,
     age_placement,
     age_work,
 )
@@ -227,16 +227,16 @@
 
         Meanwhile, ask the leader periodically for a new placement.
         """
-        while placement.start_in > REPLAN_PERIOD_S:
-            asked_at = self.now()
-            await asyncio.sleep(REPLAN_PERIOD_S)
-            renewed = age_work(work, REPLAN_PERIOD_S)
+        while placement.start_in > REPLAN_INTERVAL_S:
+            started_at = self.now()
+            await asyncio.sleep(REPLAN_INTERVAL_S)
+            renewed = age_work(work, REPLAN_INTERVAL_S)
             reply = await self._leader_calls.place(
                 self.instance.leader,
                 self.instance.exclude_in_backoff(renewed, self.now()),
                 may_back_off=False,
             )
-            waited = self.now() - asked_at
+            waited = self.now() - started_at
             work = age_work(work, waited)
             placed = None
             if reply is not None:
@@ -272,7 +272,7 @@
             self._execute(self.instance.replace_job(work.job, kept, self.now()))
         return kept
 
-    async def request_send(
+    async def request_send_permit(
         self, upstreams: list[UpstreamId], timeout_s: float
     ) -> SendPermitReply:
         """Ask the leader for a permit to send to one of some rate-limited upstreams.
--- a/src/scalebend/measuring/harness.py
+++ b/src/scalebend/measuring/harness.py
@@ -1,7 +1,7 @@
-"""Drive real instances' cores against stand-in engines in virtual time.
+"""Runs the cores of instances against modelled engines in simulated time.
 
-Stand-ins for the interfaces, not a simulator of a cluster: messages take a fixed
-time, engines follow ``standins.engine_model``, processing takes no time. The same
+Only the interfaces of the core are modelled, not a whole cluster: messages take a fixed
+time, engines follow ``standins.engine_model`` and processing takes no time. The same
 scenario, policy and seed give the same result.
 """
 
@@ -75,15 +75,15 @@
 
 MODEL = ModelName("dossiers")
 SERVICE = ServiceName("work-orders")
-TICK = 0.05
-ANNOUNCE_PERIOD = 0.5
-START_TIME = 4.0
-"""Virtual seconds for elections and announcements before the load begins."""
+TICK_INTERVAL_S = 0.05
+ANNOUNCE_INTERVAL_S = 0.5
+START_TIME_S = 4.0
+"""Simulated time for elections and announcements before the load begins."""
 
-TAIL_TIME = 10.0
-"""Seconds after the last request at which no memory may be held."""
+TAIL_TIME_S = 10.0
+"""Time after the last request by which all memory must be released."""
 
-SERVICE_TIME = 0.02
+SERVICE_TIME_S = 0.02
 
 
 class _Engine(msgspec.Struct):
@@ -92,13 +92,13 @@
     model: EngineModel
     incarnation: int = 1
     is_up: bool = True
-    is_leaving: bool = False
+    is_draining: bool = False
     plan: int = 0
     sequence: int = 0
 
 
-class _Run(msgspec.Struct):
-    """One attempt on its way through an upstream."""
+class _RunningAttempt(msgspec.Struct):
+    """One attempt that an upstream executes."""
 
     attempt: AttemptId
     request: RequestId
@@ -109,81 +109,81 @@
 
 
 class Harness:
-    """One run of a scenario."""
+    """One run of a scenario with one policy and one seed."""
 
     def __init__(self, scenario: Scenario, policy: str, seed: int) -> None:
         self.scenario = scenario
         self.now = 0.0
         self._policy = policy
-        self._chooser = random.Random(f"{scenario.name}/{policy}/{seed}")
+        self._random = random.Random(f"{scenario.name}/{policy}/{seed}")
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
         self._instances: dict[InstanceId, Instance] = {}
         self._by_gossip: dict[str, InstanceId] = {}
         self._zones: dict[InstanceId, AvailabilityZone] = {}
         self._engines: dict[UpstreamId, _Engine] = {}
         self._services: dict[UpstreamId, AvailabilityZone] = {}
-        self._runs: dict[AttemptId, _Run] = {}
+        self._attempts: dict[AttemptId, _RunningAttempt] = {}
         self._outcomes: dict[RequestId, Outcome] = {}
         self._requests: dict[RequestId, Request] = {}
         self._homes: dict[RequestId, InstanceId] = {}
         self._proposals: dict[str, tuple[InstanceId, RequestId]] = {}
         self._orders_run: dict[str, int] = {}
-        self._used: list[tuple[float, str, float]] = []
+        self._work_done: list[tuple[float, str, float]] = []
         self._cancel_loss = 0.0
         self._message_loss = 0.0
-        self._late_to_leaving = 0
-        self._left_at: dict[UpstreamId, float] = {}
+        self._late_starts_on_draining = 0
+        self._draining_since: dict[UpstreamId, float] = {}
         self._build_fleet(seed)
 
     def list_instances(self) -> list[Instance]:
-        """Instances that are up."""
+        """Return the instances that run."""
         return list(self._instances.values())
 
     def propose(self, instance: Instance, command: Command) -> None:
-        """Propose a command at an instance."""
+        """Propose a command to the control group through an instance."""
         _, actions = instance.propose(command, 5.0, self.now, self.now)
         self._execute(instance.me, actions)
-        self._pump(instance.me)
+        self._run_control(instance.me)
 
-    # Virtual time
+    # Simulated time
 
     def call_at(self, at: float, work: Callable[[], None]) -> None:
-        """Run ``work`` at a virtual time."""
-        self._count += 1
-        heapq.heappush(self._events, (max(at, self.now), self._count, work))
+        """Schedule ``work`` for a simulated time in seconds."""
+        self._event_count += 1
+        heapq.heappush(self._events, (max(at, self.now), self._event_count, work))
 
     def run_until(self, end: float) -> None:
-        """Run events up to ``end``."""
+        """Run scheduled events up to ``end``."""
         while self._events and self._events[0][0] <= end:
             self.now, _, work = heapq.heappop(self._events)
             work()
         self.now = end
 
     def run(self, planned: list[PlannedRequest]) -> RunResult:
-        """Run the load to its end."""
-        self.run_until(START_TIME)
+        """Run the planned requests and the faults to the end; return the outcomes."""
+        self.run_until(START_TIME_S)
         for request in planned:
-            self.call_at(START_TIME + request.at, self._bind(self._send, request))
+            self.call_at(START_TIME_S + request.at, self._bind(self._send, request))
         for fault in self.scenario.faults:
-            self.call_at(START_TIME + fault.at, self._bind(self._fail, fault))
-        self._plan_orders()
-        last = START_TIME + self.scenario.duration
-        while self.now < last or self._has_open():
+            self.call_at(START_TIME_S + fault.at, self._bind(self._inject_fault, fault))
+        self._schedule_orders()
+        last = START_TIME_S + self.scenario.duration
+        while self.now < last or self._has_open_requests():
             self.run_until(self.now + 1.0)
-        self.run_until(self.now + TAIL_TIME)
+        self.run_until(self.now + TAIL_TIME_S)
         engines = self._engines.values()
         return RunResult(
             list(self._outcomes.values()),
             sum(engine.model.used_tokens for engine in engines if engine.is_up),
-            sum(engine.model.refused_full for engine in engines),
+            sum(engine.model.memory_rejections for engine in engines),
             sum(count > 1 for count in self._orders_run.values()),
-            self._used,
+            self._work_done,
             len(self._outcomes),
-            self._late_to_leaving,
+            self._late_starts_on_draining,
         )
 
-    def _has_open(self) -> bool:
+    def _has_open_requests(self) -> bool:
         return any(outcome.ended is None for outcome in self._outcomes.values())
 
     @staticmethod
@@ -210,7 +210,7 @@
             self._instances[name] = Instance(
                 settings, recovered, now=0.0, incarnation=1, seed=seed
             )
-            offset = TICK * number / len(names)
+            offset = TICK_INTERVAL_S * number / len(names)
             self.call_at(offset, self._bind(self._tick, name))
         for number in range(scenario.engines):
             upstream = UpstreamId(f"engine-{number:03}")
@@ -218,7 +218,7 @@
                 upstream, zones[number % len(zones)], EngineModel(scenario.parameters)
             )
             self._engines[upstream] = engine
-            at = 1.5 + ANNOUNCE_PERIOD * number / scenario.engines
+            at = 1.5 + ANNOUNCE_INTERVAL_S * number / scenario.engines
             self.call_at(at, self._bind(self._announce_engine, upstream))
         for number in range(scenario.services):
             upstream = UpstreamId(f"service-{number}")
@@ -275,20 +275,20 @@
         if instance is None:
             return
         self._execute(name, instance.advance(self.now, self.now))
-        self._pump(name)
-        self.call_at(self.now + TICK, self._bind(self._tick, name))
+        self._run_control(name)
+        self.call_at(self.now + TICK_INTERVAL_S, self._bind(self._tick, name))
 
-    def _pump(self, name: InstanceId) -> None:
+    def _run_control(self, name: InstanceId) -> None:
         instance = self._instances.get(name)
         if instance is None or instance.control is None:
             return
         while True:
-            ready = instance.control.take_ready(self.now)
+            ready = instance.control.collect_ready(self.now)
             if ready.is_empty and not instance.control.has_outgoing:
                 return
             self._execute(name, instance.finish_control(ready, self.now, self.now))
 
-    def _delay(self, one: AvailabilityZone, other: AvailabilityZone) -> float:
+    def _get_delay(self, one: AvailabilityZone, other: AvailabilityZone) -> float:
         return 0.0002 if one == other else self.scenario.zone_delay
 
     def _deliver(
@@ -299,7 +299,7 @@
             return
         actions = instance.handle_peer(sender, message, self.now, self.now)
         self._execute(to, actions)
-        self._pump(to)
+        self._run_control(to)
 
     def _deliver_datagram(self, to: InstanceId, datagram: Datagram) -> None:
         instance = self._instances.get(to)
@@ -317,43 +317,46 @@
             case Outbound(address, datagram):
                 self.send_datagram(name, address, datagram)
             case StartAttempt():
-                self._start(name, action)
+                self._start_attempt(name, action)
             case ResumeAttempt(attempt):
-                self._resume(attempt)
+                self._resume_attempt(attempt)
             case AbortAttempt(attempt):
-                self._runs.pop(attempt, None)
+                self._attempts.pop(attempt, None)
             case ClaimKey(request):
-                self._claim(name, request)
+                self._propose_claim(name, request)
             case CancelOnEngine(upstream, attempt):
-                self._cancel(name, upstream, attempt)
+                self._cancel_attempt(name, upstream, attempt)
             case Conclude(request, error):
                 self._conclude(name, request, error)
             case ProposalOutcome(proposal, result):
-                self._take_claim(proposal, result)
+                self._apply_claim_result(proposal, result)
 
     def send_datagram(self, name: InstanceId, address: str, datagram: Datagram) -> None:
-        """Deliver a datagram after the zones' delay."""
+        """Deliver a datagram after the delay between the availability zones."""
         to = self._by_gossip[address]
-        delay = self._delay(self._zones[name], self._zones[to])
+        delay = self._get_delay(self._zones[name], self._zones[to])
         work = self._bind(self._deliver_datagram, to, datagram)
         self.call_at(self.now + delay, work)
 
     def send_message(
         self, name: InstanceId, to: InstanceId, message: PeerMessage
     ) -> None:
-        """Deliver a message after the zones' delay, unless messages are lost."""
-        if self._message_loss and self._chooser.random() < self._message_loss:
+        """Deliver a message after the delay between the availability zones.
+
+        While a fault loses messages, some of them are dropped.
+        """
+        if self._message_loss and self._random.random() < self._message_loss:
             return
         if to not in self._zones:
             return
-        delay = self._delay(self._zones[name], self._zones[to])
+        delay = self._get_delay(self._zones[name], self._zones[to])
         self.call_at(self.now + delay, self._bind(self._deliver, name, to, message))
 
     # Requests
 
     def _send(self, planned: PlannedRequest) -> None:
         names = sorted(self._instances)
-        name = self._chooser.choice(names)
+        name = self._random.choice(names)
         request = Request(
             request=RequestId(f"r{planned.number}"),
             customer=planned.customer,
@@ -364,10 +367,10 @@
             output_tokens=planned.output_tokens,
             prefixes=tuple(prefix for prefix, _ in build_prefixes(planned)),
         )
-        outcome = Outcome(planned, deadline=request.deadline - START_TIME)
+        outcome = Outcome(planned, deadline=request.deadline - START_TIME_S)
         self._admit(name, request, outcome)
 
-    def _plan_orders(self) -> None:
+    def _schedule_orders(self) -> None:
         if not self.scenario.order_rate:
             return
         at = 0.0
@@ -375,12 +378,12 @@
         while (at := at + 1.0 / self.scenario.order_rate) < self.scenario.duration:
             number += 1
             work = self._bind(self._send_order, number, at)
-            self.call_at(START_TIME + at, work)
+            self.call_at(START_TIME_S + at, work)
 
     def _send_order(self, number: int, at: float) -> None:
-        name = self._chooser.choice(sorted(self._instances))
+        name = self._random.choice(sorted(self._instances))
         customer = self.scenario.customers[0].customer
-        # Every third order is sent a second time, under the same key.
+        # Every third order repeats the previous one, with its idempotency key.
         key = f"order-{number - 1 if number % 3 == 0 else number}"
         request = Request(
             request=RequestId(f"o{number}"),
@@ -394,7 +397,7 @@
             fingerprint=key,
         )
         planned = PlannedRequest(-number, at, customer, 0, 0)
-        outcome = Outcome(planned, order=key, deadline=request.deadline - START_TIME)
+        outcome = Outcome(planned, order=key, deadline=request.deadline - START_TIME_S)
         self._admit(name, request, outcome)
 
     def _admit(self, name: InstanceId, request: Request, outcome: Outcome) -> None:
@@ -414,61 +417,61 @@
         outcome = self._outcomes[request]
         if outcome.ended is not None:
             return
-        outcome.ended = self.now - START_TIME
+        outcome.ended = self.now - START_TIME_S
         if error is not None:
             outcome.error = error.kind.value
             outcome.ran = error.ran.value
         instance = self._instances.get(name)
         if instance is not None:
             instance.finish(request, self._requests[request].customer)
-            self._settle(name, request, error)
+            self._settle_claim(name, request, error)
 
     # Claims
 
-    def _claim(self, name: InstanceId, request: RequestId) -> None:
-        known = self._requests[request]
-        assert known.idempotency_key is not None
+    def _propose_claim(self, name: InstanceId, request: RequestId) -> None:
+        stored = self._requests[request]
+        assert stored.idempotency_key is not None
         command = Claim(
-            known.customer, known.idempotency_key, known.fingerprint, request
+            stored.customer, stored.idempotency_key, stored.fingerprint, request
         )
         proposal, actions = self._instances[name].propose(
             command, 2.0, self.now, self.now
         )
         self._proposals[proposal] = (name, request)
         self._execute(name, actions)
-        self._pump(name)
+        self._run_control(name)
 
-    def _take_claim(self, proposal: str, result: object) -> None:
-        waiting = self._proposals.pop(proposal, None)
-        if waiting is None:
+    def _apply_claim_result(self, proposal: str, result: object) -> None:
+        pending = self._proposals.pop(proposal, None)
+        if pending is None:
             return
-        name, request = waiting
+        name, request = pending
         error = None if isinstance(result, ClaimTaken) else ClaimError("claimed")
         if error is not None:
             error.ran = Ran.UNKNOWN
         actions = self._instances[name].handle_claim(request, error, self.now)
         self._execute(name, actions)
 
-    def _settle(
+    def _settle_claim(
         self, name: InstanceId, request: RequestId, error: ScalebendError | None
     ) -> None:
-        known = self._requests[request]
-        if known.idempotency_key is None or error is not None:
+        stored = self._requests[request]
+        if stored.idempotency_key is None or error is not None:
             return
-        answer = StoredResponse(200, "application/json", b"{}")
-        command = Settle(known.customer, known.idempotency_key, request, answer)
+        response = StoredResponse(200, "application/json", b"{}")
+        command = Settle(stored.customer, stored.idempotency_key, request, response)
         _, actions = self._instances[name].propose(command, 10.0, self.now, self.now)
         self._execute(name, actions)
 
     # Upstreams
 
-    def _start(self, name: InstanceId, start: StartAttempt) -> None:
+    def _start_attempt(self, name: InstanceId, start: StartAttempt) -> None:
         lead = start.upstreams[0]
         zone = self._services.get(lead)
         if zone is None:
             zone = self._engines[lead].zone
-        delay = self._delay(self._zones[name], zone)
-        run = _Run(
+        delay = self._get_delay(self._zones[name], zone)
+        run = _RunningAttempt(
             start.attempt,
             start.request,
             name,
@@ -476,7 +479,7 @@
             self._outcomes[start.request],
             start.phase is Phase.PREFILL,
         )
-        self._runs[start.attempt] = run
+        self._attempts[start.attempt] = run
         work: Callable[..., None] = self._run_engine
         if lead in self._services:
             work = self._run_service
@@ -484,24 +487,26 @@
             work = self._begin_import
         self.call_at(self.now + delay, self._bind(work, run, start))
 
-    def _run_service(self, run: _Run, start: StartAttempt) -> None:
+    def _run_service(self, run: _RunningAttempt, start: StartAttempt) -> None:
         run.outcome.starts += 1
         key = run.outcome.order
         self._orders_run[key] = self._orders_run.get(key, 0) + 1
-        self._report(run, Completed(), SERVICE_TIME)
+        self._report_result(run, Completed(), SERVICE_TIME_S)
 
-    def _run_engine(self, run: _Run, start: StartAttempt) -> None:
+    def _run_engine(self, run: _RunningAttempt, start: StartAttempt) -> None:
         group = [self._engines[upstream] for upstream in start.upstreams]
         if not all(engine.is_up for engine in group):
-            self._report(run, NeverStarted("cannot connect"), 0.001)
+            self._report_result(run, NeverStarted("cannot connect"), 0.001)
             return
-        parts = len(group)
+        width = len(group)
         request = self._requests[start.request]
-        memory = divide_up(request.memory_tokens, parts)
+        memory = divide_up(request.memory_tokens, width)
         lead = group[0]
-        held = all(e.model.hold(start.attempt, memory) for e in group[1:])
+        is_reserved = all(
+            e.model.reserve_memory(start.attempt, memory) for e in group[1:]
+        )
         sequence = None
-        if held:
+        if is_reserved:
             prefixes = build_prefixes(run.outcome.planned)
             sequence = lead.model.submit(
                 start.attempt,
@@ -510,40 +515,40 @@
                 priority=start.priority,
                 now=self.now,
                 prefixes=prefixes,
-                speed=parts,
+                group_size=width,
                 is_prefill_only=start.phase is Phase.PREFILL,
             )
         if sequence is None:
-            refused = NeverStarted("refused", may_hold_memory=parts > 1)
-            self._report(run, refused, 0.001)
+            rejected = NeverStarted("refused", may_hold_memory=width > 1)
+            self._report_result(run, rejected, 0.001)
             return
         run.outcome.starts += 1
-        left_at = self._left_at.get(lead.name)
-        if left_at is not None and self.now > left_at + 2.0:
-            self._late_to_leaving += 1
+        draining_since = self._draining_since.get(lead.name)
+        if draining_since is not None and self.now > draining_since + 2.0:
+            self._late_starts_on_draining += 1
         self._plan_steps(lead)
 
-    def _begin_import(self, run: _Run, start: StartAttempt) -> None:
+    def _begin_import(self, run: _RunningAttempt, start: StartAttempt) -> None:
         engine = self._engines[start.upstreams[0]]
         assert start.source is not None
         source = self._engines[start.source]
         request = self._requests[start.request]
-        is_there = source.is_up and start.attempt in source.model.list_running()
+        is_prefilled = source.is_up and start.attempt in source.model.list_running()
         duration = None
-        if is_there and engine.is_up:
+        if is_prefilled and engine.is_up:
             duration = engine.model.begin_import(
                 start.attempt,
                 prompt_tokens=request.prompt_tokens,
                 output_tokens=request.output_tokens,
             )
         if duration is None:
-            self._report(run, NeverStarted("cannot import"), 0.001)
+            self._report_result(run, NeverStarted("cannot import"), 0.001)
             return
 
         def finish() -> None:
             if engine.is_up and engine.model.finish_import(start.attempt, self.now):
                 self._plan_steps(engine)
-                self._tell_started(run)
+                self._report_started(run)
 
         self.call_at(self.now + duration, finish)
 
@@ -551,25 +556,25 @@
         end = engine.model.plan(self.now)
         engine.plan += 1
         if end is not None:
-            self.call_at(end, self._bind(self._end_steps, engine, engine.plan))
+            self.call_at(end, self._bind(self._complete_steps, engine, engine.plan))
 
-    def _end_steps(self, engine: _Engine, plan: int) -> None:
+    def _complete_steps(self, engine: _Engine, plan: int) -> None:
         if plan != engine.plan or not engine.is_up:
             return
         for event in engine.model.complete(self.now):
-            run = self._runs.get(event.attempt)
+            run = self._attempts.get(event.attempt)
             match event:
                 case FirstToken():
                     if run is not None and run.outcome.first_token is None:
-                        run.outcome.first_token = self.now - START_TIME
-                    self._tell_started(run)
+                        run.outcome.first_token = self.now - START_TIME_S
+                    self._report_started(run)
                     if run is not None and run.is_prefill_only:
-                        self._report(run, Prefilled(), 0.001)
+                        self._report_result(run, Prefilled(), 0.001)
                 case Finished(_, _, output):
                     self._charge(event.attempt)
                     if run is not None:
                         run.outcome.output_tokens = output
-                        self._report(run, Completed(output), 0.001)
+                        self._report_result(run, Completed(output), 0.001)
         self._plan_steps(engine)
 
     def _charge(self, attempt: AttemptId) -> None:
@@ -577,46 +582,48 @@
         planned = self._outcomes[request].planned
         parameters = self.scenario.parameters
         cost = compute_cost(planned.prompt_tokens, planned.output_tokens, parameters)
-        self._used.append((self.now - START_TIME, planned.customer, cost))
+        self._work_done.append((self.now - START_TIME_S, planned.customer, cost))
 
-    def _tell_started(self, run: _Run | None) -> None:
+    def _report_started(self, run: _RunningAttempt | None) -> None:
         if run is None:
             return
 
-        def tell() -> None:
+        def report() -> None:
             instance = self._instances.get(run.instance)
-            if instance is not None and run.attempt in self._runs:
+            if instance is not None and run.attempt in self._attempts:
                 actions = instance.handle_started(run.attempt, self.now)
                 self._execute(run.instance, actions)
 
-        self.call_at(self.now + 0.001, tell)
+        self.call_at(self.now + 0.001, report)
 
-    def _report(self, run: _Run, result: AttemptResult, delay: float) -> None:
+    def _report_result(
+        self, run: _RunningAttempt, result: AttemptResult, delay: float
+    ) -> None:
         def report() -> None:
             instance = self._instances.get(run.instance)
-            if instance is None or run.attempt not in self._runs:
+            if instance is None or run.attempt not in self._attempts:
                 return
             if not isinstance(result, Interrupted | Prefilled):
-                del self._runs[run.attempt]
+                del self._attempts[run.attempt]
             actions = instance.handle_result(run.attempt, result, self.now)
             self._execute(run.instance, actions)
 
         self.call_at(self.now + delay, report)
 
-    def _resume(self, attempt: AttemptId) -> None:
-        run = self._runs.get(attempt)
+    def _resume_attempt(self, attempt: AttemptId) -> None:
+        run = self._attempts.get(attempt)
         if run is None:
             return
         engine = self._engines[run.engine]
         if engine.is_up and attempt in engine.model.list_running():
             return
-        self._report(run, Interrupted("nothing to resume"), 0.002)
+        self._report_result(run, Interrupted("nothing to resume"), 0.002)
 
-    def _cancel(
+    def _cancel_attempt(
         self, name: InstanceId, upstream: UpstreamId, attempt: AttemptId
     ) -> None:
         engine = self._engines[upstream]
-        if self._cancel_loss and self._chooser.random() < self._cancel_loss:
+        if self._cancel_loss and self._random.random() < self._cancel_loss:
             return
 
         def cancel() -> None:
@@ -639,7 +646,7 @@
     def _announce_engine(self, upstream: UpstreamId) -> None:
         engine = self._engines[upstream]
         work = self._bind(self._announce_engine, upstream)
-        self.call_at(self.now + ANNOUNCE_PERIOD, work)
+        self.call_at(self.now + ANNOUNCE_INTERVAL_S, work)
         if not engine.is_up:
             return
         engine.sequence += 1
@@ -652,7 +659,7 @@
             availability_zone=engine.zone,
             sequence=engine.sequence,
             state=UpstreamState.DRAINING
-            if engine.is_leaving
+            if engine.is_draining
             else UpstreamState.SERVING,
             models=[LoadedModel(MODEL)],
             memory_tokens=parameters.memory_tokens,
@@ -660,13 +667,13 @@
             prefill_rate=parameters.prefill_rate,
             step_time=parameters.step_time,
             running=list(engine.model.list_running()),
-            cache_events=engine.model.take_cache_events(),
+            cache_events=engine.model.pop_cache_events(),
         )
         self._announce(announcement, self.scenario.report_delay)
 
     def _announce_service(self, upstream: UpstreamId, sequence: int) -> None:
         work = self._bind(self._announce_service, upstream, sequence + 1)
-        self.call_at(self.now + ANNOUNCE_PERIOD, work)
+        self.call_at(self.now + ANNOUNCE_INTERVAL_S, work)
         announcement = Announcement(
             upstream=upstream,
             family=UpstreamFamily.SERVICE,
@@ -679,7 +686,7 @@
         self._announce(announcement, 0.001)
 
     def _announce(self, announcement: Announcement, delay: float) -> None:
-        name = self._chooser.choice(sorted(self._instances))
+        name = self._random.choice(sorted(self._instances))
 
         def arrive() -> None:
             instance = self._instances.get(name)
@@ -691,36 +698,36 @@
 
     # Faults
 
-    def _fail(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.ENGINES_LOST:
                 up = [e for e in self._engines.values() if e.is_up]
-                for engine in self._chooser.sample(up, min(fault.count, len(up))):
-                    self._lose_engine(engine, fault.back_after)
+                for engine in self._random.sample(up, min(fault.count, len(up))):
+                    self._crash_engine(engine, fault.back_after)
             case FaultKind.INSTANCE_LOST:
                 names = sorted(self._instances)[self.scenario.control :]
-                for name in self._chooser.sample(names, fault.count):
-                    self.lose_instance(name)
+                for name in self._random.sample(names, fault.count):
+                    self.crash_instance(name)
             case FaultKind.CANCELLATIONS_LOST:
                 self._cancel_loss = fault.rate
             case FaultKind.MESSAGES_LOST:
                 self._message_loss = fault.rate
                 if fault.back_after is not None:
-                    self.call_at(self.now + fault.back_after, self._heal_messages)
+                    self.call_at(self.now + fault.back_after, self._stop_message_loss)
             case FaultKind.LINKS_LOST:
-                self._lose_links(fault.rate)
-            case FaultKind.ENGINE_LEAVES:
+                self._break_connections(fault.rate)
+            case FaultKind.ENGINE_DRAINS:
                 for engine in list(self._engines.values())[: fault.count]:
-                    engine.is_leaving = True
-                    self._left_at[engine.name] = self.now
+                    engine.is_draining = True
+                    self._draining_since[engine.name] = self.now
 
-    def _heal_messages(self) -> None:
+    def _stop_message_loss(self) -> None:
         self._message_loss = 0.0
 
-    def _lose_engine(self, engine: _Engine, back_after: float | None) -> None:
+    def _crash_engine(self, engine: _Engine, back_after: float | None) -> None:
         engine.is_up = False
-        for run in [r for r in self._runs.values() if r.engine == engine.name]:
-            self._report(run, Interrupted("engine lost"), 0.002)
+        for run in [r for r in self._attempts.values() if r.engine == engine.name]:
+            self._report_result(run, Interrupted("engine lost"), 0.002)
         if back_after is not None:
             work = self._bind(self._restart_engine, engine)
             self.call_at(self.now + back_after, work)
@@ -730,23 +737,23 @@
         engine.incarnation += 1
         engine.is_up = True
 
-    def lose_instance(self, name: InstanceId) -> None:
-        """End an instance without warning."""
+    def crash_instance(self, name: InstanceId) -> None:
+        """Crash an instance."""
         del self._instances[name]
         for request, home in self._homes.items():
             outcome = self._outcomes[request]
             if home == name and outcome.ended is None:
-                # The caller sees its connection end; it is told nothing.
-                outcome.ended = self.now - START_TIME
+                # The caller sees only that its connection breaks.
+                outcome.ended = self.now - START_TIME_S
                 outcome.error = "instance-lost"
                 outcome.ran = "unknown"
-        for attempt in [a for a, r in self._runs.items() if r.instance == name]:
-            del self._runs[attempt]
+        for attempt in [a for a, r in self._attempts.items() if r.instance == name]:
+            del self._attempts[attempt]
 
-    def _lose_links(self, rate: float) -> None:
-        for run in list(self._runs.values()):
-            if run.engine in self._engines and self._chooser.random() < rate:
-                self._report(run, Interrupted("link lost"), 0.0)
+    def _break_connections(self, rate: float) -> None:
+        for run in list(self._attempts.values()):
+            if run.engine in self._engines and self._random.random() < rate:
+                self._report_result(run, Interrupted("link lost"), 0.0)
 
 
 def _build_gossip_address(name: InstanceId) -> str:
--- a/src/scalebend/measuring/losses.py
+++ b/src/scalebend/measuring/losses.py
@@ -1,9 +1,9 @@
-"""A ledger of requests that were not served in time, by kind, moment and reason.
+"""Ledger of requests that were not served in time, by route, arrival time and reason.
 
-Read from the fronts' structured logs: ``engines chosen``, ``engines declined``, ``all
-upstreams asked for a pause``, ``attempt ended``, ``caller left`` and ``request
-answered``. A line may stand behind a prefix, such as a process' name. Times are in
-seconds.
+It is built from the structured logs of fronts, from the events ``engines chosen``,
+``engines declined``, ``all upstreams asked for a pause``, ``attempt ended``, ``caller
+left`` and ``request answered``. A line may have a prefix, such as the name of a
+process. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 
 import msgspec
 
-LONG_TURN = 0.5
-"""Part of the target that a wait for the turn must take to be the reason."""
+LONG_WAIT_SHARE = 0.5
+"""Share of the target from which a wait for the planned start is the reason."""
 
-SLOWER = 1.5
-"""Times the predicted first token from which the replica is the reason."""
+SLOW_FACTOR = 1.5
+"""Multiple of the predicted time to first event that makes the replica the reason."""
 
 
 class Reason(Enum):
-    """Why a request earned less than its whole worth."""
+    """Why a request was not served in time."""
 
-    REFUSED = "refused: no place in time"
-    TURNED_AWAY = "refused: replicas turned it away"
-    ALL_CLOSED = "refused: all replicas asked for a pause"
+    REJECTED = "refused: no place in time"
+    REJECTED_BY_REPLICAS = "refused: replicas turned it away"
+    ALL_IN_BACKOFF = "refused: all replicas asked for a pause"
     NOT_READY = "refused: no lease or stopping"
-    CALLER_LEFT = "caller left or its connection was lost"
+    CALLER_DISCONNECTED = "caller left or its connection was lost"
     REPLICA_FAILED = "replicas failed it"
     REPLICA_LOST = "placed again after an attempt was lost"
     TIMED_OUT = "time limit reached"
-    WAITED = "waited for its turn"
+    QUEUED = "waited for its turn"
     NO_LEADER = "placed without the leader"
     REPLICA_SLOW = "replica slower than predicted"
     LATE = "late as predicted"
-    PAUSE = "pause between events"
+    STALLED = "pause between events"
     UNKNOWN = "no reason in the log"
 
 
 class LoggedRequest(msgspec.Struct):
-    """What the log tells of one attempt of a caller."""
+    """One request of a caller as the log describes it."""
 
     request: str
     at: float
@@ -59,15 +59,15 @@
     start_in: float = 0.0
     had_leader: bool = True
     was_declined: bool = False
-    met_pause: bool = False
-    """Whether all upstreams that were left had asked for a pause."""
+    met_backoff: bool = False
+    """Whether all remaining upstreams were in backoff."""
 
-    has_left: bool = False
+    has_disconnected: bool = False
     outcomes: list[str] = msgspec.field(default_factory=list)
 
 
 class LedgerRow(msgspec.Struct, frozen=True):
-    """Requests of one route that were lost for one reason."""
+    """Number of requests of one route that were not served in time for one reason."""
 
     route: str
     reason: str
@@ -84,20 +84,23 @@
 
 
 class Ledger(msgspec.Struct, frozen=True):
-    """All losses; the counts of ``rows`` and of ``windows`` both sum up to ``lost``."""
+    """All losses; the counts of ``rows`` and of ``windows`` each sum up to ``lost``."""
 
     requests: int
     lost: int
     rows: list[LedgerRow]
     windows: list[WindowRow]
     cut_short: int = 0
-    """Requests left out of all counts: the time limit of their route ended them, and it
-    is below the route's own target or ended all that came there. Documents have such
-    routes to test what is in force; an outage would show here as well."""
+    """Requests that no other count includes.
+
+    The time limit of their route ended them, and it is below the target of the route or
+    ended all its requests. Routing documents have such routes to test time limits; an
+    outage of a route appears here as well.
+    """
 
 
 def read_requests(lines: Iterable[str]) -> list[LoggedRequest]:
-    """Requests of callers in log lines, in the order in which they were first named."""
+    """Return the requests in log lines, in the order of their first line."""
     requests: dict[str, LoggedRequest] = {}
     for line in lines:
         start = line.find("{")
@@ -106,13 +109,13 @@
         try:
             event = msgspec.json.decode(line[start:])
         except msgspec.DecodeError:
-            # A line that was cut by a crash tells nothing.
+            # A crash may truncate a line.
             continue
-        _take(requests, event)
+        _apply_event(requests, event)
     return list(requests.values())
 
 
-def _take(requests: dict[str, LoggedRequest], event: dict[str, Any]) -> None:
+def _apply_event(requests: dict[str, LoggedRequest], event: dict[str, Any]) -> None:
     name = event.get("request")
     if not name:
         return
@@ -126,11 +129,11 @@
         case "engines declined":
             seen.was_declined = True
         case "all upstreams asked for a pause":
-            seen.met_pause = True
+            seen.met_backoff = True
         case "attempt ended":
             seen.outcomes.append(event["outcome"])
         case "caller left":
-            seen.has_left = True
+            seen.has_disconnected = True
         case "request answered":
             for field in ("route", "status", "kind", "elapsed", "target", "event_gap"):
                 setattr(seen, field, event.get(field))
@@ -140,25 +143,25 @@
 
 
 def find_reason(seen: LoggedRequest) -> Reason | None:
-    """Why a request was not served in time; ``None`` when it was."""
-    if seen.has_left or seen.status is None:
-        return Reason.CALLER_LEFT
+    """Return why a request was not served in time; ``None`` if it was."""
+    if seen.has_disconnected or seen.status is None:
+        return Reason.CALLER_DISCONNECTED
     if seen.status >= 400 or seen.status == 0:
-        return _find_failure(seen)
+        return _find_failure_reason(seen)
     first = seen.first_event if seen.first_event is not None else seen.elapsed
     if seen.target is not None and first > seen.target:
-        return _find_delay(seen, first)
+        return _find_delay_reason(seen, first)
     if seen.event_gap is not None and seen.longest_gap > seen.event_gap:
-        return Reason.REPLICA_LOST if seen.outcomes else Reason.PAUSE
+        return Reason.REPLICA_LOST if seen.outcomes else Reason.STALLED
     return None
 
 
-def _find_failure(seen: LoggedRequest) -> Reason:
+def _find_failure_reason(seen: LoggedRequest) -> Reason:
     match seen.kind:
         case "not-ready":
             return Reason.NOT_READY
         case "overloaded" | "no-upstream":
-            return _find_refusal(seen)
+            return _find_rejection_reason(seen)
         case "time-limit":
             return Reason.TIMED_OUT
     if seen.outcomes or seen.status == 0:
@@ -166,58 +169,58 @@
     return Reason.UNKNOWN
 
 
-def _find_refusal(seen: LoggedRequest) -> Reason:
-    if seen.met_pause:
-        return Reason.ALL_CLOSED
+def _find_rejection_reason(seen: LoggedRequest) -> Reason:
+    if seen.met_backoff:
+        return Reason.ALL_IN_BACKOFF
     if "rejected" in seen.outcomes and not seen.was_declined:
-        return Reason.TURNED_AWAY
-    return Reason.REFUSED
+        return Reason.REJECTED_BY_REPLICAS
+    return Reason.REJECTED
 
 
-def _find_delay(seen: LoggedRequest, first: float) -> Reason:
+def _find_delay_reason(seen: LoggedRequest, first: float) -> Reason:
     if seen.outcomes:
         return Reason.REPLICA_LOST
     if seen.predicted is None or seen.target is None:
         return Reason.REPLICA_SLOW
     if not seen.had_leader:
         return Reason.NO_LEADER
-    if first > SLOWER * seen.predicted:
+    if first > SLOW_FACTOR * seen.predicted:
         return Reason.REPLICA_SLOW
-    if seen.start_in > LONG_TURN * seen.target:
-        return Reason.WAITED
+    if seen.start_in > LONG_WAIT_SHARE * seen.target:
+        return Reason.QUEUED
     return Reason.LATE
 
 
-def _has_reached_limit(seen: LoggedRequest) -> bool:
-    return seen.kind == "time-limit" and not seen.has_left
+def _has_reached_time_limit(seen: LoggedRequest) -> bool:
+    return seen.kind == "time-limit" and not seen.has_disconnected
 
 
-def _is_cut_short(seen: LoggedRequest, routes_with_ends: set[str | None]) -> bool:
-    if not _has_reached_limit(seen):
+def _is_cut_short(seen: LoggedRequest, ended_routes: set[str | None]) -> bool:
+    if not _has_reached_time_limit(seen):
         return False
     is_below_target = seen.target is not None and seen.elapsed < seen.target
-    return is_below_target or seen.route not in routes_with_ends
+    return is_below_target or seen.route not in ended_routes
 
 
 def build_ledger(requests: list[LoggedRequest], window: float) -> Ledger:
     """Count losses by route and reason, and by windows of ``window`` seconds."""
-    # Who calls a route that is not there is owed nothing.
+    # Unauthenticated requests and those to unknown routes do not count as lost.
     allowed = [one for one in requests if one.status not in (401, 404)]
-    with_ends = {one.route for one in allowed if not _has_reached_limit(one)}
-    owed = [one for one in allowed if not _is_cut_short(one, with_ends)]
-    cut_short = len(allowed) - len(owed)
-    if not owed:
+    ended_routes = {one.route for one in allowed if not _has_reached_time_limit(one)}
+    counted = [one for one in allowed if not _is_cut_short(one, ended_routes)]
+    cut_short = len(allowed) - len(counted)
+    if not counted:
         return Ledger(0, 0, [], [], cut_short)
-    begin = min(one.at for one in owed)
+    begin = min(one.at for one in counted)
     rows: Counter[tuple[str, Reason]] = Counter()
     windows: dict[int, Counter[Reason | None]] = {}
-    for one in owed:
+    for one in counted:
         reason = find_reason(one)
         windows.setdefault(int((one.at - begin) // window), Counter())[reason] += 1
         if reason is not None:
             rows[one.route or "-", reason] += 1
     return Ledger(
-        requests=len(owed),
+        requests=len(counted),
         lost=rows.total(),
         rows=[
             LedgerRow(route, reason.value, count)
@@ -243,7 +246,7 @@
 
 
 def format_ledger(ledger: Ledger) -> str:
-    """Tables for people."""
+    """Format the ledger as text tables."""
     lines = [f"{ledger.requests} requests, {ledger.lost} not served in time"]
     if ledger.cut_short:
         lines.append(f"{ledger.cut_short} more cut short by their route's time limit")
--- a/src/scalebend/measuring/placement_run.py
+++ b/src/scalebend/measuring/placement_run.py
@@ -1,8 +1,8 @@
-"""Plays a scenario of placement in virtual time and counts what callers got.
+"""Runs a placement scenario in simulated time and records what callers get.
 
-The real scheduler decides: one leader that hears of all, one for each cell of the
-fleet, or each front alone. Two plain ways stand beside it, and the time that each
-request takes on a fleet of its own, which no way of deciding can beat.
+The scheduler of the gateway places requests: one leader for all, one for each cell of
+the fleet, or each front uncoordinated. It is compared with two simple placements and
+with the upper bound, in which each request has an idle fleet to itself.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     EngineScheduler,
 )
 from scalebend.core.gateway.placement_aging import (
-    REPLAN_PERIOD_S,
+    REPLAN_INTERVAL_S,
     age_placement,
     age_work,
 )
-from scalebend.measuring.engine_passes import PassEngine, Reading, Writing
-from scalebend.measuring.placement_baselines import place_simply, serve_alone
+from scalebend.measuring.batch_engine import BatchEngine, DecodeWork, PrefillWork
+from scalebend.measuring.placement_baselines import place_baseline, serve_on_idle_fleet
 from scalebend.measuring.placement_cells import (
     SERVICE,
     Cell,
@@ -50,23 +50,23 @@
     is_job_of,
 )
 
-ASK_TIME = 0.003
-"""Seconds from a front's question to the leader's answer."""
+LEADER_ROUND_TRIP_S = 0.003
+"""Time from a placement request of a front to the reply, without queueing."""
 
-TELL_TIME = 0.002
-"""Seconds until the leader knows what a front saw."""
+REPORT_DELAY_S = 0.002
+"""Time until the leader receives a report of a front."""
 
-SEND_TIME = 0.002
-"""Seconds from a caller to its front, from there to an engine, and back."""
+HOP_TIME_S = 0.002
+"""Time from a caller to its front, or from a front to an engine, or back."""
 
-NEWS_PERIOD = 0.5
-"""Seconds between two heartbeats of the leader to the fronts."""
+HEARTBEAT_INTERVAL_S = 0.5
+"""Interval between two heartbeats of the leader to the fronts."""
 
-EXPIRE_PERIOD = 0.5
-"""Seconds between two searches for jobs whose end was not heard."""
+EXPIRE_INTERVAL_S = 0.5
+"""Interval between two searches for jobs whose end was not reported."""
 
-LOSS_NOTICED = 0.2
-"""Seconds until a front sends a request again whose engine crashed."""
+CRASH_DETECTION_S = 0.2
+"""Time until a front retries a request whose engine crashed."""
 
 
 class _Job(msgspec.Struct):
@@ -75,26 +75,26 @@
     placement: Placement
     engines: list[int]
     cell: Cell | None
-    """Whose leader placed it, or ``None``: its front did."""
+    """Cell whose leader placed the job; ``None`` if its front placed it."""
 
-    began: float
-    unread: set[int]
+    placed_at: float
+    prefilling: set[int]
     is_decoding: bool = False
-    is_over: bool = False
+    has_ended: bool = False
 
 
 class PlacementRun:
-    """One run of one decider over one seed."""
+    """One run of a scenario with one decider and one seed."""
 
     def __init__(
         self, scenario: PlacementScenario, decider: Decider, seed: int
     ) -> None:
         self._scenario = scenario
         self._decider = decider
-        self._chance = random.Random(seed + 1)
+        self._rng = random.Random(seed + 1)
         self._profile = scenario.engines.build_profile()
         self._engines = [
-            PassEngine(scenario.engines) for _ in range(scenario.engines.count)
+            BatchEngine(scenario.engines) for _ in range(scenario.engines.count)
         ]
         self._endpoints = build_endpoints(self._profile, scenario.engines.count)
         self._numbers = {one.upstream: n for n, one in enumerate(self._endpoints)}
@@ -109,43 +109,52 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._event_count = 0
         self._now = 0.0
-        self._readiness = [self._chance.random() for _ in range(scenario.fronts)]
+        self._readiness = [self._rng.random() for _ in range(scenario.fronts)]
         self.choices = 0
-        self.choices_alone = 0
-        """Choices that fronts made without the leader."""
+        self.uncoordinated_choices = 0
+        """Placements that fronts made without the leader."""
 
         self.results: list[Result] = []
         for arrival in plan_arrivals(scenario, seed):
             result = Result(arrival)
             self.results.append(result)
-            self._at(arrival.at + SEND_TIME, lambda r=result: self._arrive(r))  # type: ignore[misc]
+            self._call_at(arrival.at + HOP_TIME_S, lambda r=result: self._arrive(r))  # type: ignore[misc]
         for loss in scenario.engine_losses:
-            self._at(loss.at, lambda one=loss: self._lose(one.count, one.back_after))  # type: ignore[misc]
-        for lost in scenario.leader_losses:
-            self._at(
-                lost.at + lost.length,
-                lambda one=lost: self._take_lead(self._cells[: one.cells]),  # type: ignore[misc]
+            self._call_at(
+                loss.at,
+                lambda one=loss: self._crash_engines(one.count, one.back_after),  # type: ignore[misc]
+            )
+        for loss_of_leaders in scenario.leader_losses:
+            self._call_at(
+                loss_of_leaders.at + loss_of_leaders.length,
+                lambda one=loss_of_leaders: self._replace_leaders(
+                    self._cells[: one.cells]
+                ),  # type: ignore[misc]
+            )
+        for cut in scenario.front_partitions:
+            self._call_at(cut.at, lambda one=cut: self._forget_front_jobs(one.count))  # type: ignore[misc]
+            self._call_at(
+                cut.at + cut.length, lambda: self._replace_leaders(self._cells)
             )
-        for cut in scenario.fronts_cut:
-            self._at(cut.at, lambda one=cut: self._forget_fronts(one.count))  # type: ignore[misc]
-            self._at(cut.at + cut.length, lambda: self._take_lead(self._cells))
         for restart in scenario.restarts:
-            self._at(restart.at, self._restart)
-        self._at(NEWS_PERIOD, self._tell_fronts)
-        self._at(EXPIRE_PERIOD, self._expire)
+            self._call_at(restart.at, self._restart)
+        self._call_at(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
+        self._call_at(EXPIRE_INTERVAL_S, self._expire)
 
     def run(self) -> list[Result]:
-        """Play everything; return what became of each request."""
+        """Run the whole scenario and return the result of each request."""
         if self._decider is Decider.IDLE_FLEET:
             for result in self.results:
-                serve_alone(result, self._profile, len(self._engines), SEND_TIME)
+                serve_on_idle_fleet(
+                    result, self._profile, len(self._engines), HOP_TIME_S
+                )
             return self.results
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
             action()
         return self.results
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
+    def _call_at(self, when: float, action: Callable[[], None]) -> None:
         self._event_count += 1
         heapq.heappush(self._events, (when, self._event_count, action))
 
@@ -155,7 +164,7 @@
         for front in self._fronts:
             front.expire(self._now)
         if self._now < self._scenario.length + 30.0:
-            self._at(self._now + EXPIRE_PERIOD, self._expire)
+            self._call_at(self._now + EXPIRE_INTERVAL_S, self._expire)
 
     # Requests
 
@@ -169,30 +178,34 @@
             if self._now < back - restart.waiting:
                 return
             if self._now < ready_at:
-                self._at(ready_at, lambda: self._arrive(result))
+                self._call_at(ready_at, lambda: self._arrive(result))
                 return
-        if arrival.leaves_after is not None:
-            leave_at = arrival.at + arrival.leaves_after
-            self._at(max(leave_at, self._now), lambda: self._leave(result))
-        self._ask(result)
+        if arrival.disconnects_after is not None:
+            disconnect_at = arrival.at + arrival.disconnects_after
+            self._call_at(
+                max(disconnect_at, self._now), lambda: self._disconnect_caller(result)
+            )
+        self._request_placement(result)
 
-    def _ask(self, result: Result) -> None:
-        """Ask the leader, or decide alone where it does not answer in time."""
+    def _request_placement(self, result: Result) -> None:
+        """Ask the leader; place uncoordinated if it does not reply in time."""
         front = result.arrival.front
         cell = choose_cell(
-            self._cells, lambda one: self._is_lost(one, front), self._chance
+            self._cells, lambda one: self._has_no_leader(one, front), self._rng
         )
         if cell is None:
-            self._at(self._now + ASK_TIME, lambda: self._place(result, None))
+            self._call_at(
+                self._now + LEADER_ROUND_TRIP_S, lambda: self._place(result, None)
+            )
             return
-        answer = cell.queue.ask(front, ASK_TIME, self._now)
-        asked = cell if answer.is_led else None
-        self._at(answer.at, lambda: self._place(result, asked))
+        decision = cell.queue.place(front, LEADER_ROUND_TRIP_S, self._now)
+        leading_cell = cell if decision.is_coordinated else None
+        self._call_at(decision.at, lambda: self._place(result, leading_cell))
 
     def _place(self, result: Result, cell: Cell | None) -> None:
         arrival = result.arrival
         remaining = arrival.at + arrival.kind.deadline - self._now
-        if result.has_left or remaining <= 0.0:
+        if result.has_disconnected or remaining <= 0.0:
             return
         self._job_count += 1
         number = self._job_count
@@ -207,99 +220,106 @@
             event_gap=arrival.kind.event_gap,
             remaining=remaining,
         )
-        if cell is not None and self._is_lost(cell, arrival.front):
+        if cell is not None and self._has_no_leader(cell, arrival.front):
             cell = None
         placed = self._decide(work, arrival.front, cell)
         if isinstance(placed, Declined):
-            self._refuse(result, placed.retry_after, remaining)
+            self._reject(result, placed.retry_after, remaining)
             return
         engines = [self._numbers[upstream] for upstream in placed.upstreams]
         job = _Job(result, work, placed, engines, cell, self._now, set(engines))
         self._jobs[number] = job
-        self._note_open(job)
-        self._at(self._now + remaining, lambda: self._give_up(number))
-        self._await_turn(number)
+        self._report_open_job(job)
+        self._call_at(self._now + remaining, lambda: self._end_at_deadline(number))
+        self._await_start(number)
 
-    def _await_turn(self, number: int) -> None:
-        """Send when the turn comes; ask now and then whether it comes sooner."""
+    def _await_start(self, number: int) -> None:
+        """Send at the planned start; replan at intervals while it is later."""
         start_in = self._jobs[number].placement.start_in
-        if start_in > REPLAN_PERIOD_S:
-            self._at(self._now + REPLAN_PERIOD_S, lambda: self._ask_again(number))
+        if start_in > REPLAN_INTERVAL_S:
+            self._call_at(self._now + REPLAN_INTERVAL_S, lambda: self._replan(number))
         else:
-            self._at(self._now + start_in + SEND_TIME, lambda: self._send(number))
+            self._call_at(self._now + start_in + HOP_TIME_S, lambda: self._send(number))
 
-    def _ask_again(self, number: int) -> None:
+    def _replan(self, number: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
-        job.work = age_work(job.work, REPLAN_PERIOD_S)
+        job.work = age_work(job.work, REPLAN_INTERVAL_S)
         cell = job.cell
-        if cell is None or self._is_lost(cell, job.result.arrival.front):
-            job.placement = age_placement(job.placement, REPLAN_PERIOD_S)
-            self._await_turn(number)
+        if cell is None or self._has_no_leader(cell, job.result.arrival.front):
+            job.placement = age_placement(job.placement, REPLAN_INTERVAL_S)
+            self._await_start(number)
             return
         placed = self._decide(job.work, job.result.arrival.front, cell)
         if isinstance(placed, Declined):
-            job.is_over = True
-            job.result.held += self._now - job.began
-            self._tell(job, is_ended=True)
-            self._refuse(job.result, placed.retry_after, job.work.remaining)
+            job.has_ended = True
+            job.result.wasted_wait_s += self._now - job.placed_at
+            self._report_stage(job, is_ended=True)
+            self._reject(job.result, placed.retry_after, job.work.remaining)
             return
         job.placement = placed
         job.engines = [self._numbers[upstream] for upstream in placed.upstreams]
-        job.unread = set(job.engines)
-        self._note_open(job)
-        self._await_turn(number)
+        job.prefilling = set(job.engines)
+        self._report_open_job(job)
+        self._await_start(number)
 
     def _decide(
         self, work: EngineWork, front: int, cell: Cell | None
     ) -> Placement | Declined:
         endpoints = self._endpoints if cell is None else cell.endpoints
-        alive = [e for e in endpoints if self._numbers[e.upstream] not in self._down]
+        available = [
+            e for e in endpoints if self._numbers[e.upstream] not in self._down
+        ]
         match self._decider:
             case Decider.RANDOM:
-                return place_simply(work, self._chance.choice(alive), alive)
+                return place_baseline(work, self._rng.choice(available), available)
             case Decider.FEWEST_OPEN:
-                return place_simply(work, min(alive, key=self._count_open), alive)
+                return place_baseline(
+                    work, min(available, key=self._count_open), available
+                )
         scheduler = self._fronts[front] if cell is None else cell.scheduler
         self.choices += 1
-        self.choices_alone += cell is None
-        return scheduler.place(work, alive, self._profile, self._now)
+        self.uncoordinated_choices += cell is None
+        return scheduler.place(work, available, self._profile, self._now)
 
-    def _note_open(self, job: _Job) -> None:
-        """Whoever did not place the job hears of it: its front, or the leader."""
+    def _report_open_job(self, job: _Job) -> None:
+        """Report an open job to its front and to the leaders of its engines."""
         opened = OpenJob(job.work, job.placement, is_decoding=False)
         front = self._fronts[job.result.arrival.front]
         front.forget(job.work.job)
         front.adopt(opened, self._profile, self._now)
-        for cell in self._find_told(job):
-            # It hears of it after all that it was asked before.
-            heard_at = max(self._now, cell.queue.free_at)
-            self._at(heard_at, lambda c=cell: self._tell_open(c, job, opened))  # type: ignore[misc]
+        for cell in self._find_reachable_cells(job):
+            # The leader processes requests that arrived earlier first.
+            reported_at = max(self._now, cell.queue.free_at)
+            self._call_at(
+                reported_at,
+                lambda c=cell: self._adopt_open_job(c, job, opened),  # type: ignore[misc]
+            )
 
-    def _tell_open(self, cell: Cell, job: _Job, opened: OpenJob) -> None:
-        if not job.is_over and job.placement == opened.placement:
+    def _adopt_open_job(self, cell: Cell, job: _Job, opened: OpenJob) -> None:
+        if not job.has_ended and job.placement == opened.placement:
             cell.scheduler.adopt(opened, self._profile, self._now)
 
-    def _find_told(self, job: _Job) -> list[Cell]:
-        """Cells whose leader hears of a job: those of its engines."""
+    def _find_reachable_cells(self, job: _Job) -> list[Cell]:
+        """Return the cells of a job's engines whose leader its front reaches."""
         numbers = {engine % len(self._cells) for engine in job.engines}
         front = job.result.arrival.front
         return [
             cell
             for cell in self._cells
-            if cell.number in numbers and not self._is_lost(cell, front)
+            if cell.number in numbers and not self._has_no_leader(cell, front)
         ]
 
     def _count_open(self, endpoint: Endpoint) -> tuple[int, float]:
         number = self._numbers[endpoint.upstream]
-        return self._engines[number].open_jobs, self._chance.random()
+        return self._engines[number].open_jobs, self._rng.random()
 
-    def _is_lost(self, cell: Cell, front: int) -> bool:
-        """Whether a front has no leader of this cell to ask now."""
+    def _has_no_leader(self, cell: Cell, front: int) -> bool:
+        """Whether a front can reach no leader of a cell now."""
         scenario = self._scenario
         return (
-            self._decider is Decider.ALONE
+            self._decider is Decider.UNCOORDINATED
             or any(
                 self._is_within(one.at, one.length)
                 and (one.cells is None or cell.number < one.cells)
@@ -307,31 +327,31 @@
             )
             or any(
                 front < one.count and self._is_within(one.at, one.length)
-                for one in scenario.fronts_cut
+                for one in scenario.front_partitions
             )
         )
 
     def _is_within(self, at: float, length: float) -> bool:
         return at <= self._now < at + length
 
-    def _take_lead(self, cells: list[Cell]) -> None:
-        """New leaders learn what is open from the fronts that reach them."""
+    def _replace_leaders(self, cells: list[Cell]) -> None:
+        """Start new leaders, to which reachable fronts report their open jobs."""
         for cell in cells:
             cell.scheduler = EngineScheduler()
         for job in self._jobs.values():
-            if job.is_over:
+            if job.has_ended:
                 continue
             opened = OpenJob(
-                job.work, job.placement, job.is_decoding, self._now - job.began
+                job.work, job.placement, job.is_decoding, self._now - job.placed_at
             )
-            for cell in self._find_told(job):
+            for cell in self._find_reachable_cells(job):
                 cell.scheduler.adopt(opened, self._profile, self._now)
 
     def _restart(self) -> None:
-        """All processes lose what they knew, and their callers what was open."""
+        """Restart all processes; they lose their state and all open requests."""
         for number, job in self._jobs.items():
-            if not job.is_over:
-                self._end(number)
+            if not job.has_ended:
+                self._end_job(number)
         for cell in self._cells:
             cell.scheduler = EngineScheduler()
         self._fronts = [
@@ -339,159 +359,165 @@
             for n in range(self._scenario.fronts)
         ]
 
-    def _forget_fronts(self, count: int) -> None:
-        """Leaders lost the links to some fronts, and with them their jobs."""
+    def _forget_front_jobs(self, count: int) -> None:
+        """Make leaders forget the jobs of fronts whose links were lost."""
         for number in range(count):
             front = InstanceId(f"front-{number}")
             for cell in self._cells:
                 cell.scheduler.forget_front(partial(is_job_of, front))
 
-    def _tell_fronts(self) -> None:
-        """Heartbeats of leaders say which replicas are busy, and with what."""
+    def _send_heartbeats(self) -> None:
+        """Report the load of busy replicas from the leaders to the fronts."""
         for cell in self._cells:
-            cell.tell_load()
+            cell.publish_load()
         for number, front in enumerate(self._fronts):
-            heard = [one for one in self._cells if not self._is_lost(one, number)]
+            reachable = [
+                one for one in self._cells if not self._has_no_leader(one, number)
+            ]
             busy = [
                 replica
-                for cell in heard
+                for cell in reachable
                 for replica in cell.scheduler.list_busy(self._now, len(self._engines))
             ]
-            if heard:
+            if reachable:
                 front.record_busy_replicas(busy, self._now)
         if self._now < self._scenario.length:
-            self._at(self._now + NEWS_PERIOD, self._tell_fronts)
+            self._call_at(self._now + HEARTBEAT_INTERVAL_S, self._send_heartbeats)
 
-    def _refuse(self, result: Result, retry_after: float, remaining: float) -> None:
-        result.refusals += 1
-        if result.refusals > self._scenario.retries:
+    def _reject(self, result: Result, retry_after: float, remaining: float) -> None:
+        result.rejections += 1
+        if result.rejections > self._scenario.retries:
             return
-        pause = min(retry_after, remaining / 3.0) + 2 * SEND_TIME
-        self._at(self._now + pause, lambda: self._arrive(result))
+        delay = min(retry_after, remaining / 3.0) + 2 * HOP_TIME_S
+        self._call_at(self._now + delay, lambda: self._arrive(result))
 
     def _send(self, number: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
         if set(job.engines) & self._down:
-            self._break(number)
+            self._place_again(number)
             return
         arrival = job.result.arrival
         width = len(job.engines)
         seconds = compute_prefill_time(self._profile, arrival.prompt) / width
         for engine in job.engines:
             tokens = arrival.prompt // width
-            reading = Reading(number, seconds, tokens, is_joint=width > 1)
-            self._engines[engine].add(reading, is_first=engine == job.engines[0])
-            self._wake(engine)
+            prefill = PrefillWork(number, seconds, tokens, is_grouped=width > 1)
+            self._engines[engine].add_prefill(prefill, is_lead=engine == job.engines[0])
+            self._start_batch_step(engine)
 
-    def _give_up(self, number: int) -> None:
+    def _end_at_deadline(self, number: int) -> None:
         job = self._jobs[number]
-        if not job.is_over:
-            job.result.held += self._now - job.began
-            self._end(number)
+        if not job.has_ended:
+            job.result.wasted_wait_s += self._now - job.placed_at
+            self._end_job(number)
 
-    def _leave(self, result: Result) -> None:
+    def _disconnect_caller(self, result: Result) -> None:
         if result.first_event is not None:
             return
-        result.has_left = True
+        result.has_disconnected = True
         for number, job in list(self._jobs.items()):
-            if job.result is result and not job.is_over:
-                self._end(number)
+            if job.result is result and not job.has_ended:
+                self._end_job(number)
 
-    def _end(self, number: int) -> None:
+    def _end_job(self, number: int) -> None:
         job = self._jobs[number]
-        job.is_over = True
+        job.has_ended = True
         for engine in job.engines:
-            self._engines[engine].drop(number)
-        self._tell(job, is_ended=True)
+            self._engines[engine].cancel(number)
+        self._report_stage(job, is_ended=True)
 
-    def _tell(self, job: _Job, *, is_ended: bool) -> None:
+    def _report_stage(self, job: _Job, *, is_ended: bool) -> None:
         load = self._engines[job.engines[0]].open_jobs
         stage = JobStage(job.work.job, is_ended=is_ended, load=load)
         self._fronts[job.result.arrival.front].record_stage(stage, self._now)
-        for cell in self._find_told(job):
-            self._at(
-                self._now + TELL_TIME,
+        for cell in self._find_reachable_cells(job):
+            self._call_at(
+                self._now + REPORT_DELAY_S,
                 lambda c=cell: c.scheduler.record_stage(stage, self._now),  # type: ignore[misc]
             )
 
     # Engines
 
-    def _wake(self, number: int) -> None:
+    def _start_batch_step(self, number: int) -> None:
         engine = self._engines[number]
         if not engine.is_idle:
             return
-        seconds = engine.begin_pass()
+        seconds = engine.begin_batch_step()
         if seconds is not None:
             started = engine.incarnation
-            self._at(self._now + seconds, lambda: self._end_pass(number, started))
+            self._call_at(
+                self._now + seconds, lambda: self._end_batch_step(number, started)
+            )
 
-    def _end_pass(self, number: int, incarnation: int) -> None:
+    def _end_batch_step(self, number: int, incarnation: int) -> None:
         engine = self._engines[number]
         if engine.incarnation != incarnation:
             return
-        ended = engine.end_pass()
-        for job in ended.read:
-            self._note_read(job, number)
-        for job in ended.written:
-            self._note_event(job)
+        ended = engine.end_batch_step()
+        for job in ended.prefilled:
+            self._record_prefill(job, number)
+        for job in ended.decoded:
+            self._record_event(job)
             if not engine.is_decoding(job):
-                self._finish(job)
-        self._wake(number)
+                self._complete(job)
+        self._start_batch_step(number)
 
-    def _note_read(self, number: int, engine: int) -> None:
+    def _record_prefill(self, number: int, engine: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
-        job.unread.discard(engine)
-        if not job.unread:
+        job.prefilling.discard(engine)
+        if not job.prefilling:
             arrival = job.result.arrival
             events_left = arrival.events
             if engine == job.engines[0]:
-                # The pass that ends the reading brings the first token, too.
+                # The batch step that completes the prefill also yields the first token.
                 events_left -= 1
-                self._note_event(number)
-            first = self._engines[job.engines[0]]
-            first.write(Writing(number, arrival.prompt, events_left))
-            self._wake(job.engines[0])
+                self._record_event(number)
+            lead = self._engines[job.engines[0]]
+            lead.start_decoding(DecodeWork(number, arrival.prompt, events_left))
+            self._start_batch_step(job.engines[0])
 
-    def _note_event(self, number: int) -> None:
+    def _record_event(self, number: int) -> None:
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
         result = job.result
-        seen = self._now + SEND_TIME - result.arrival.at
+        seen = self._now + HOP_TIME_S - result.arrival.at
         if not job.is_decoding:
             job.is_decoding = True
-            self._tell(job, is_ended=False)
+            self._report_stage(job, is_ended=False)
         if result.first_event is None:
             result.first_event = seen
         else:
             result.longest_gap = max(result.longest_gap, seen - result.last_event)
         result.last_event = seen
 
-    def _finish(self, number: int) -> None:
+    def _complete(self, number: int) -> None:
         job = self._jobs[number]
-        job.is_over = True
-        job.result.is_whole = True
-        self._tell(job, is_ended=True)
+        job.has_ended = True
+        job.result.is_complete = True
+        self._report_stage(job, is_ended=True)
 
-    def _lose(self, count: int, back_after: float) -> None:
-        alive = [n for n in range(len(self._engines)) if n not in self._down]
-        for number in self._chance.sample(alive, min(count, len(alive))):
+    def _crash_engines(self, count: int, back_after: float) -> None:
+        available = [n for n in range(len(self._engines)) if n not in self._down]
+        for number in self._rng.sample(available, min(count, len(available))):
             self._down.add(number)
-            lost = self._engines[number].crash()
-            for job in lost:
-                self._break(job)
+            affected = self._engines[number].crash()
+            for job in affected:
+                self._place_again(job)
             back = self._now + back_after
-            self._at(back, lambda n=number: self._down.discard(n))  # type: ignore[misc]
+            self._call_at(back, lambda n=number: self._down.discard(n))  # type: ignore[misc]
 
-    def _break(self, number: int) -> None:
-        """A request lost an engine: its front places it anew, once it noticed."""
+    def _place_again(self, number: int) -> None:
+        """Place a request again once its front has detected the engine's crash."""
         job = self._jobs[number]
-        if job.is_over:
+        if job.has_ended:
             return
-        self._end(number)
+        self._end_job(number)
         result = job.result
-        self._at(self._now + LOSS_NOTICED, lambda: self._ask(result))
+        self._call_at(
+            self._now + CRASH_DETECTION_S, lambda: self._request_placement(result)
+        )
--- a/src/scalebend/measuring/scenario.py
+++ b/src/scalebend/measuring/scenario.py
@@ -1,4 +1,4 @@
-"""A measurement's scenario: fleet, customers, load and faults; one JSON file."""
+"""Scenario of a measurement: fleet, customers, load and faults, in one JSON file."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from scalebend.standins.engine_model import EngineParameters
 from scalebend.standins.load import Band, PlannedRequest, draw_tokens
 
-SHORTEST = {
+MIN_PROMPT_TOKENS = {
     Band.SHORT: 1_000,
     Band.MEDIUM: 4_000,
     Band.LARGE: 32_000,
     Band.LONG: 100_000,
 }
-LONGEST = {
+MAX_PROMPT_TOKENS = {
     Band.SHORT: 3_900,
     Band.MEDIUM: 31_000,
     Band.LARGE: 99_000,
@@ -26,18 +26,18 @@
 
 
 class FaultKind(Enum):
-    """What fails."""
+    """Kind of failure."""
 
     ENGINES_LOST = "engines-lost"
     INSTANCE_LOST = "instance-lost"
     CANCELLATIONS_LOST = "cancellations-lost"
     LINKS_LOST = "links-lost"
     MESSAGES_LOST = "messages-lost"
-    ENGINE_LEAVES = "engine-leaves"
+    ENGINE_DRAINS = "engine-leaves"
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One failure; ``at`` and ``back_after`` in seconds, ``rate`` a probability."""
+    """One failure; ``at`` and ``back_after`` in seconds, ``rate`` as a probability."""
 
     kind: FaultKind
     at: float
@@ -47,10 +47,11 @@
 
 
 class LoadCustomer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A customer's part of the load.
+    """The load of one customer.
 
-    ``demand`` is its part of the offered work; ``mix`` its work by band, of ``short``,
-    ``medium``, ``large`` and ``long``; ``active`` the times it sends in, in seconds.
+    ``demand`` is its weight in the offered work, ``mix`` the weights of the bands
+    ``short``, ``medium``, ``large`` and ``long`` in its work, and ``active`` the
+    intervals in which it sends, in seconds; all the time by default.
     """
 
     customer: CustomerId
@@ -64,11 +65,11 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything but the seed and the policy.
+    """All parameters of a run except for the seed and the policy.
 
-    ``load`` is the offered work relative to ``capacity``, which is the work that one
-    engine does a second when saturated, in seconds of nominal cost (see
-    docs/measuring.md). ``report_delay`` is how late engine reports arrive.
+    ``load`` is the offered work relative to ``capacity``, the work that one saturated
+    engine does per second, in seconds of nominal cost (see docs/measuring.md).
+    ``report_delay`` is the delay of engine reports; times are in seconds.
     """
 
     name: str
@@ -96,15 +97,15 @@
 
 
 def compute_cost(tokens: int, output: int, parameters: EngineParameters) -> float:
-    """Nominal engine-seconds of a request; the same measure that shares use."""
+    """Return the nominal cost of a request in engine-seconds, as used for shares."""
     typical_batch = max(1.0, parameters.concurrency / 4)
     decode = output * parameters.step_time / typical_batch
     return tokens / parameters.prefill_rate + decode
 
 
 def plan_load(scenario: Scenario, seed: int) -> list[PlannedRequest]:
-    """Return the requests of a run, by time; the same for the same seed."""
-    chooser = random.Random(f"{scenario.name}/{seed}")
+    """Return the requests of a run by arrival time; a seed always gives the same."""
+    rng = random.Random(f"{scenario.name}/{seed}")
     rate = scenario.load * scenario.capacity * scenario.engines
     total = sum(customer.demand for customer in scenario.customers)
     planned: list[PlannedRequest] = []
@@ -112,7 +113,7 @@
         part = rate * customer.demand / total
         for name, share in customer.mix.items():
             work = part * share / sum(customer.mix.values())
-            planned += _plan_band(scenario, customer, Band[name.upper()], work, chooser)
+            planned += _plan_band(scenario, customer, Band[name.upper()], work, rng)
     planned.sort(key=lambda request: request.at)
     return [
         msgspec.structs.replace(request, number=number)
@@ -125,38 +126,38 @@
     customer: LoadCustomer,
     band: Band,
     work: float,
-    chooser: random.Random,
+    rng: random.Random,
 ) -> list[PlannedRequest]:
     if work <= 0.0:
         return []
-    sample = [_draw(band, chooser) for _ in range(400)]
+    sample = [_draw_sizes(band, rng) for _ in range(400)]
     mean = sum(compute_cost(t, o, scenario.parameters) for t, o in sample) / 400
     requests = []
     for start, end in customer.active or [(0.0, scenario.duration)]:
         at = start
-        while (at := at + chooser.expovariate(work / mean)) < end:
-            tokens, output = _draw(band, chooser)
-            requests.append(_build(scenario, customer, at, tokens, output, chooser))
+        while (at := at + rng.expovariate(work / mean)) < end:
+            tokens, output = _draw_sizes(band, rng)
+            requests.append(_build_request(scenario, customer, at, tokens, output, rng))
     return requests
 
 
-def _draw(band: Band, chooser: random.Random) -> tuple[int, int]:
-    tokens = draw_tokens(chooser, SHORTEST[band], LONGEST[band])
-    return tokens, draw_tokens(chooser, 40, 300)
+def _draw_sizes(band: Band, rng: random.Random) -> tuple[int, int]:
+    tokens = draw_tokens(rng, MIN_PROMPT_TOKENS[band], MAX_PROMPT_TOKENS[band])
+    return tokens, draw_tokens(rng, 40, 300)
 
 
-def _build(
+def _build_request(
     scenario: Scenario,
     customer: LoadCustomer,
     at: float,
     tokens: int,
     output: int,
-    chooser: random.Random,
+    rng: random.Random,
 ) -> PlannedRequest:
     prefix = None
     prefix_tokens = 0
-    if chooser.random() < scenario.shared_prefixes:
-        prefix = chooser.randrange(4) + 10 * (hash_name(customer.customer) % 1000)
+    if rng.random() < scenario.shared_prefixes:
+        prefix = rng.randrange(4) + 10 * (hash_name(customer.customer) % 1000)
         prefix_tokens = min(tokens - 1, 2_000)
     return PlannedRequest(
         0, at, customer.customer, tokens, output, prefix, prefix_tokens
@@ -164,5 +165,5 @@
 
 
 def hash_name(name: str) -> int:
-    """Return a number that is the same in every process."""
+    """Return a hash that is the same in every process."""
     return sum((index + 1) * ord(letter) for index, letter in enumerate(name))
--- a/src/scalebend/standins/service_server.py
+++ b/src/scalebend/standins/service_server.py
@@ -1,4 +1,4 @@
-"""A small plain service over HTTP, such as work orders or permit checks."""
+"""A stand-in service over HTTP, such as work orders or permit checks."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     UpstreamId,
 )
 from scalebend.models.upstream import Announcement, UpstreamFamily, UpstreamState
-from scalebend.standins.announcer import announce_for_ever
+from scalebend.standins.announcer import announce_periodically
 
 
 class ServiceOptions(msgspec.Struct, frozen=True):
-    """Identity of a stand-in service; ``delay`` in seconds before each answer."""
+    """Identity of a stand-in service; ``delay`` is in seconds before each response."""
 
     upstream: UpstreamId
     availability_zone: AvailabilityZone
@@ -30,7 +30,7 @@
 
 
 class ServiceServer:
-    """Counts every call by its ``X-Order`` header, to show double execution."""
+    """Counts calls by their ``X-Order`` header, to detect repeated execution."""
 
     def __init__(self, options: ServiceOptions, incarnation: int = 1) -> None:
         self.options = options
@@ -39,16 +39,17 @@
         self._announcements = 0
         self.state = UpstreamState.SERVING
         self.calls: dict[str, int] = {}
-        self.drop_answers = 0
+        self.responses_to_drop = 0
+        """Number of executed calls whose response is still to be dropped."""
 
     def build_app(self) -> web.Application:
-        """Return the service's HTTP application."""
+        """Return the HTTP application of the service."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_route("*", "/{path:.*}", self._serve)
         return app
 
     def build_announcement(self) -> Announcement:
-        """Return what the service says of itself now."""
+        """Return an announcement of the current state of the service."""
         self._announcements += 1
         return Announcement(
             upstream=self.options.upstream,
@@ -67,8 +68,8 @@
         self.calls[order] = self.calls.get(order, 0) + 1
         await request.read()
         await asyncio.sleep(self.options.delay)
-        if self.drop_answers:
-            self.drop_answers -= 1
+        if self.responses_to_drop:
+            self.responses_to_drop -= 1
             assert request.transport is not None
             request.transport.abort()
         return web.json_response({"order": order, "run": self.calls[order]})
@@ -86,7 +87,7 @@
     await site.start()
     service.address = f"127.0.0.1:{runner.addresses[0][1]}"
     task = asyncio.create_task(
-        announce_for_ever(service.build_announcement, urls, options.announce_key)
+        announce_periodically(service.build_announcement, urls, options.announce_key)
     )
     try:
         yield service
