--- a/src/scalebend/commands/apply.py
+++ b/src/scalebend/commands/apply.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from scalebend.commands.check import print_faults
-from scalebend.commands.client import RequestError, fetch, report_error
+from scalebend.commands.client import CallError, fetch, report_error
 from scalebend.edges.admin import ApplyResponse
 from scalebend.edges.settings_file import read_configuration
 from scalebend.exceptions import DocumentError
@@ -42,7 +42,7 @@
         applied = asyncio.run(
             _apply(configuration, url, key, base, ChangeId(change), operator)
         )
-    except RequestError as error:
+    except CallError as error:
         return report_error(error)
     if as_json:
         print(json.dumps({"version": applied.version}))
--- a/src/scalebend/commands/client.py
+++ b/src/scalebend/commands/client.py
@@ -14,7 +14,7 @@
 REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
 
 
-class RequestError(Exception):
+class CallError(Exception):
     """The instance returned an error or could not be reached."""
 
     def __init__(self, text: str, exit_code: int) -> None:
@@ -32,7 +32,7 @@
 ) -> T:
     """Send a request and decode its response.
 
-    Raises :class:`RequestError` if the instance returns an error or is unreachable.
+    Raises :class:`CallError` if the instance returns an error or is unreachable.
     """
     try:
         async with (
@@ -44,13 +44,13 @@
             data = await response.read()
             status = response.status
     except (aiohttp.ClientError, TimeoutError) as error:
-        raise RequestError(f"{url}: {error}", EXIT_UNREACHABLE) from None
+        raise CallError(f"{url}: {error}", EXIT_UNREACHABLE) from None
     if status >= 300:
-        raise RequestError(data.decode(errors="replace"), 1)
+        raise CallError(data.decode(errors="replace"), 1)
     return msgspec.json.decode(data or b"null", type=type_)
 
 
-def report_error(error: RequestError) -> int:
+def report_error(error: CallError) -> int:
     """Print an error to standard error and return the exit code."""
     print(error, file=sys.stderr)
     return error.exit_code
--- a/src/scalebend/commands/diff.py
+++ b/src/scalebend/commands/diff.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from scalebend.commands.check import print_faults
-from scalebend.commands.client import RequestError, fetch, report_error
+from scalebend.commands.client import CallError, fetch, report_error
 from scalebend.edges.settings_file import read_configuration
 from scalebend.exceptions import DocumentError
 from scalebend.models.configuration import AcceptedConfiguration, Configuration
@@ -26,7 +26,7 @@
     path = f"{url}/admin/configuration"
     try:
         current = asyncio.run(fetch("GET", path, key, AcceptedConfiguration))
-    except RequestError as error:
+    except CallError as error:
         return report_error(error)
     lines = list(
         difflib.unified_diff(
--- a/src/scalebend/commands/status.py
+++ b/src/scalebend/commands/status.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from scalebend.commands.client import RequestError, fetch, report_error
+from scalebend.commands.client import CallError, fetch, report_error
 from scalebend.edges.admin import Status
 
 
@@ -14,7 +14,7 @@
     """Print the state that an instance reports."""
     try:
         status = asyncio.run(fetch("GET", f"{url}/admin/status", key, Status))
-    except RequestError as error:
+    except CallError as error:
         return report_error(error)
     if as_json:
         print(msgspec.json.encode(status).decode())
--- a/src/scalebend/soak/faults.py
+++ b/src/scalebend/soak/faults.py
@@ -170,7 +170,7 @@
     down: float
 
 
-class RateLimit(msgspec.Struct, frozen=True, tag="Limit"):
+class RateLimitFault(msgspec.Struct, frozen=True, tag="Limit"):
     """Makes replicas announce a rate limit.
 
     ``rate`` is in requests per second at each replica, from all fronts together.
@@ -206,7 +206,7 @@
     | Misbehave
     | Drain
     | Crash
-    | RateLimit
+    | RateLimitFault
     | Reject
     | Change
 )
@@ -260,10 +260,10 @@
     return Schedule(faults, at)
 
 
-def _draw_rate_limit(chooser: random.Random, layout: Layout) -> RateLimit:
+def _draw_rate_limit(chooser: random.Random, layout: Layout) -> RateLimitFault:
     rate = round(chooser.uniform(MIN_RATE_LIMIT_PER_S, MAX_RATE_LIMIT_PER_S), 2)
     replicas = chooser.choice((layout.engine_replicas, layout.plain_replicas))
-    return RateLimit(tuple(replicas), rate, RATE_LIMIT_DURATION_S)
+    return RateLimitFault(tuple(replicas), rate, RATE_LIMIT_DURATION_S)
 
 
 def _draw_rejection(chooser: random.Random, layout: Layout) -> Reject:
--- a/src/scalebend/soak/injector.py
+++ b/src/scalebend/soak/injector.py
@@ -79,7 +79,7 @@
             case faults.Change(count, revokes):
                 for _ in range(count):
                     await self._operator.change(session, revokes=revokes)
-            case faults.RateLimit(replicas, rate, lasts):
+            case faults.RateLimitFault(replicas, rate, lasts):
                 await self._limit_rate(replicas, rate, lasts)
             case faults.Reject(replicas, backoff, lasts):
                 await self._reject(replicas, backoff, lasts)
