--- a/src/scalebend/commands/errors.py
+++ b/src/scalebend/commands/errors.py
@@ -1,8 +1,8 @@
-"""``scalebend errors``: the closed list of error kinds, as a page."""
+"""``scalebend errors``: prints the list of error kinds as a Markdown page."""
 
 from __future__ import annotations
 
-from scalebend.exceptions import ANSWERS
+from scalebend.exceptions import ERROR_RESPONSES
 
 HEAD = """\
 # Errors
@@ -27,8 +27,8 @@
 def build_page() -> str:
     """Return the page as Markdown."""
     rows = [
-        f"| `{kind.value}` | {answer.status} | "
-        f"{'yes' if answer.retryable else 'no'} | {answer.title} |"
-        for kind, answer in ANSWERS.items()
+        f"| `{kind.value}` | {error_response.status} | "
+        f"{'yes' if error_response.retryable else 'no'} | {error_response.title} |"
+        for kind, error_response in ERROR_RESPONSES.items()
     ]
     return HEAD + "\n".join(rows) + "\n"
--- a/src/scalebend/core/gateway/front_instance.py
+++ b/src/scalebend/core/gateway/front_instance.py
@@ -45,7 +45,7 @@
 from scalebend.core.gateway.unanswered_attempts import UnansweredAttempts
 from scalebend.core.upstream_backoff import UpstreamBackoffs
 from scalebend.models.crashes import CrashRecord
-from scalebend.models.endpoints import EndpointNews, UpstreamOutcomes
+from scalebend.models.endpoints import EndpointUpdate, UpstreamOutcomes
 from scalebend.models.gateway_settings import GatewaySettings
 from scalebend.models.ids import (
     Fingerprint,
@@ -63,13 +63,14 @@
     Placement,
     ReplicaPace,
 )
-from scalebend.models.request_limits import HeardLimit
+from scalebend.models.rate_limits import ObservedLimit
 from scalebend.models.routing import EMPTY_ROUTING
 
 logger = structlog.get_logger(__name__)
 
 LEASE_REQUEST_INTERVAL_S = 0.4
-"""Far below the bound on revocation, so that several requests may be lost."""
+"""Interval of lease requests: far below the bound on revocation, so that several may be
+lost."""
 
 OUTCOME_REPORT_INTERVAL_S = 0.2
 """Interval of the reports of attempt outcomes, which bounds their rate under load."""
@@ -78,7 +79,8 @@
 """Interval at which expired jobs, replicas and crash records are removed."""
 
 ENDPOINT_TIMEOUT_S = 3600.0
-"""Long, because control instances tell fronts which upstreams are unresponsive."""
+"""Time without an update before an upstream expires at a front. It is long because
+control instances detect unresponsive upstreams and notify the fronts."""
 
 LEADER_TIMEOUT_S = 1.0
 """Without a message from the leader for this long, a front isn't ready and asks callers
@@ -262,7 +264,7 @@
         return actions
 
     def _apply_endpoints(
-        self, changes: list[EndpointNews], now: float
+        self, changes: list[EndpointUpdate], now: float
     ) -> list[FrontAction]:
         ended = []
         for change in changes:
@@ -438,9 +440,9 @@
 
     # Rate limits
 
-    def record_limit(self, heard: HeardLimit, now: float) -> list[ToControl]:
+    def record_limit(self, observed: ObservedLimit, now: float) -> list[ToControl]:
         """Record the rate limit in an upstream's response, or that there is none."""
-        update = self.limits.receive(heard, now, has_leader=self.leader is not None)
+        update = self.limits.receive(observed, now, has_leader=self.leader is not None)
         return self._send_to_leader(update) if update is not None else []
 
     def record_uncoordinated_send(self, upstream: UpstreamId) -> list[ToControl]:
@@ -475,7 +477,7 @@
 
     def record_completed(self, fingerprint: Fingerprint, now: float) -> list[ToControl]:
         """Record that an upstream gave a complete response to the request."""
-        if not self.crashes.record_response(fingerprint, now):
+        if not self.crashes.record_completed(fingerprint, now):
             return []
         return self._send_to_leader(CrashUpdates([], [fingerprint]))
 
@@ -522,7 +524,7 @@
         return self._send_to_leader(RejectionReport(upstream))
 
     def record_paces(self, paces: list[ReplicaPace], now: float) -> list[ToControl]:
-        """Record and report how slow replicas say they are."""
+        """Record the paces that replicas reported, and send them to the leader."""
         for pace in paces:
             self.scheduler.record_pace(pace, now)
         return self._send_to_leader(ReplicaPaces(paces)) if paces else []
--- a/src/scalebend/core/gateway/front_limits.py
+++ b/src/scalebend/core/gateway/front_limits.py
@@ -15,12 +15,12 @@
     SendPermitReply,
     SendPermitRequest,
 )
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.core.send_budget import SendBudget, UncoordinatedShare
 from scalebend.models.ids import InstanceId, UpstreamId
-from scalebend.models.request_limits import (
-    HeardLimit,
-    RequestLimit,
+from scalebend.models.rate_limits import (
+    ObservedLimit,
+    RateLimit,
     describe_rate,
 )
 
@@ -31,7 +31,7 @@
     """Rate limits known to one front, and what it may send without the leader."""
 
     def __init__(self, front: InstanceId, now: float) -> None:
-        self._limits = RequestLimits()
+        self._limits = RateLimits()
         self._fronts = 1
         self._number: int | None = None
         # Used until the leader assigns numbers; two fronts may get the same one.
@@ -40,7 +40,7 @@
         self.budget = SendBudget(self._limits, UncoordinatedShare(1, 0, now))
         self.placement = LimitedPlacement(self.budget)
 
-    def get(self, upstream: UpstreamId) -> RequestLimit:
+    def get(self, upstream: UpstreamId) -> RateLimit:
         """The limit in force at an upstream."""
         return self._limits.get(upstream)
 
@@ -53,20 +53,20 @@
         return self._limits.count_limited()
 
     def receive(
-        self, reported: HeardLimit, now: float, *, has_leader: bool
+        self, observed: ObservedLimit, now: float, *, has_leader: bool
     ) -> ObservedLimits | None:
         """Apply the limit named in a response; return the report for the leader.
 
         The leader decides when a limit is raised or ends, and publishes it; a front
         without a leader decides for itself.
         """
-        known = self._limits.get(reported.upstream)
-        if reported.rate == known.rate:
+        known = self._limits.get(observed.upstream)
+        if observed.rate == known.rate:
             return None
-        if reported.rate < known.rate or not has_leader:
-            changed = self._limits.apply(reported)
+        if observed.rate < known.rate or not has_leader:
+            changed = self._limits.apply(observed)
             self._apply_changes([changed] if changed is not None else [], now)
-        return ObservedLimits([reported]) if has_leader else None
+        return ObservedLimits([observed]) if has_leader else None
 
     def apply_updates(self, updates: LimitUpdates, now: float) -> None:
         """Merge limits that a control instance published."""
@@ -83,7 +83,7 @@
             self._fronts = max(self._fronts, fronts)
 
     def record_leader_contact(self, now: float) -> None:
-        """Store that the leader was heard: uncoordinated sends begin only after it."""
+        """Record contact with the leader; uncoordinated sends begin only after it."""
         self._leader_seen_at = now
         if self._limits.count_limited():
             self._update_share(now)
@@ -104,7 +104,7 @@
         self.budget.refresh(now)
         self.placement.expire(now)
 
-    def _apply_changes(self, changed: list[RequestLimit], now: float) -> None:
+    def _apply_changes(self, changed: list[RateLimit], now: float) -> None:
         for limit in changed:
             logger.info(
                 "request limit known",
--- a/src/scalebend/core/gateway/limit_exchange.py
+++ b/src/scalebend/core/gateway/limit_exchange.py
@@ -21,22 +21,22 @@
     SendPermitReply,
     SendPermitRequest,
 )
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.core.send_budget import LeaderShare, SendBudget
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import InstanceId, UpstreamId
 from scalebend.models.placement import Declined, EngineWork, Placement
-from scalebend.models.request_limits import (
-    HeardLimit,
-    RequestLimit,
+from scalebend.models.rate_limits import (
+    ObservedLimit,
+    RateLimit,
     describe_rate,
 )
 from scalebend.models.routing import EngineProfile
 
 logger = structlog.get_logger(__name__)
 
-UPDATE_PERIOD_S = 0.05
-"""Least time between two updates to all fronts: when a whole service becomes
+UPDATE_INTERVAL_S = 0.05
+"""Minimum time between two updates to all fronts: when a whole service becomes
 overloaded, hundreds of responses say so at almost the same time."""
 
 LOST_FRONT_RETENTION_S = 60.0
@@ -52,12 +52,12 @@
     """Rate limits known to one control instance, and its grants while it leads."""
 
     def __init__(self) -> None:
-        self.limits = RequestLimits()
+        self.limits = RateLimits()
         self.budget = SendBudget(self.limits, LeaderShare(1.0))
         self.placement = LimitedPlacement(self.budget)
         self._linked: dict[InstanceId, None] = {}
         self._lost: dict[InstanceId, float] = {}
-        self._changed: dict[UpstreamId, RequestLimit] = {}
+        self._changed: dict[UpstreamId, RateLimit] = {}
         self._has_new_positions = False
         """Whether the positions of fronts differ from those last sent to them."""
 
@@ -113,24 +113,20 @@
     # Updates
 
     def receive(
-        self, front: InstanceId, reported: Iterable[HeardLimit], now: float
+        self, front: InstanceId, observed: Iterable[ObservedLimit], now: float
     ) -> None:
         """Apply limits that a front read in responses."""
-        for one in reported:
+        for one in observed:
             changed = self.limits.apply(one)
             if changed is not None:
                 self._record_change(changed, front, now)
 
-    def merge(
-        self, front: InstanceId, limits: Iterable[RequestLimit], now: float
-    ) -> None:
+    def merge(self, front: InstanceId, limits: Iterable[RateLimit], now: float) -> None:
         """Merge all limits that a front knows."""
         for changed in self.limits.merge(limits):
             self._record_change(changed, front, now)
 
-    def _record_change(
-        self, limit: RequestLimit, source: InstanceId, now: float
-    ) -> None:
+    def _record_change(self, limit: RateLimit, source: InstanceId, now: float) -> None:
         logger.info(
             "request limit changed",
             upstream=limit.upstream,
@@ -151,7 +147,7 @@
         is_due = self._changed or (self._has_new_positions and self.has_limits)
         if not is_due or now < self._send_at:
             return []
-        self._send_at = now + UPDATE_PERIOD_S
+        self._send_at = now + UPDATE_INTERVAL_S
         actions = self._send_positions() if self._has_new_positions else []
         if self._changed:
             # One message object for all fronts, so that it is encoded once.
--- a/src/scalebend/core/gateway/service_balancer.py
+++ b/src/scalebend/core/gateway/service_balancer.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from scalebend.models.calls import LoadReading
+from scalebend.models.calls import ReportedLoad
 from scalebend.models.endpoints import Endpoint
 from scalebend.models.ids import AvailabilityZone, UpstreamId
 
-READING_LIFE_S = 0.5
+READING_LIFETIME_S = 0.5
 """Time for which a load reading that an upstream reported is used."""
 
 FAILURE_WEIGHT = 8.0
@@ -20,7 +20,7 @@
 FAILURE_SMOOTHING = 0.3
 """Weight of the newest outcome in the moving average of the failure rate."""
 
-FAILURE_LIFE_S = 3.0
+FAILURE_LIFETIME_S = 3.0
 """Time after the last failure for which the failure rate counts; then the upstream is
 tried again."""
 
@@ -33,7 +33,7 @@
 
 class _Record(msgspec.Struct):
     open: int = 0
-    reading: LoadReading | None = None
+    reading: ReportedLoad | None = None
     read_at: float = 0.0
     failure_rate: float = 0.0
     failed_at: float = 0.0
@@ -82,7 +82,7 @@
     def record_ended(
         self,
         upstream: UpstreamId,
-        reading: LoadReading | None,
+        reading: ReportedLoad | None,
         now: float,
         *,
         has_failed: bool,
@@ -105,10 +105,10 @@
     def _weigh(self, endpoint: Endpoint, zone: AvailabilityZone, now: float) -> float:
         record = self._get(endpoint.upstream)
         weight = float(record.open)
-        if record.reading is not None and now - record.read_at < READING_LIFE_S:
+        if record.reading is not None and now - record.read_at < READING_LIFETIME_S:
             reported = record.reading.running + record.reading.waiting
             weight = max(weight, float(reported))
-        if now - record.failed_at < FAILURE_LIFE_S:
+        if now - record.failed_at < FAILURE_LIFETIME_S:
             weight += FAILURE_WEIGHT * record.failure_rate
         if endpoint.availability_zone != zone:
             weight += ZONE_WEIGHT
--- a/src/scalebend/core/gateway/update_batch.py
+++ b/src/scalebend/core/gateway/update_batch.py
@@ -1,15 +1,15 @@
 """Batches updates of upstreams that go to many processes.
 
 When a deployment starts, all upstreams register within one heartbeat, and each control
-instance sends every change to every front. Batching bounds the number of messages. An
-update that comes alone is sent immediately.
+instance sends every change to every front. Batching bounds the number of messages. A
+single update is sent immediately.
 """
 
 from __future__ import annotations
 
 import math
 
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from scalebend.models.ids import UpstreamId
 
 BATCH_INTERVAL_S = 0.1
@@ -21,10 +21,10 @@
     """Pending updates for the next message, the latest one of each upstream."""
 
     def __init__(self) -> None:
-        self._pending: dict[UpstreamId, EndpointNews] = {}
+        self._pending: dict[UpstreamId, EndpointUpdate] = {}
         self._due_at = -math.inf
 
-    def add(self, updates: list[EndpointNews], now: float) -> list[EndpointNews]:
+    def add(self, updates: list[EndpointUpdate], now: float) -> list[EndpointUpdate]:
         """Add updates; return those to send now.
 
         Updates on draining or gone upstreams are urgent, since these must receive no
@@ -35,15 +35,15 @@
             self._pending.pop(one.endpoint.upstream, None)
             self._pending[one.endpoint.upstream] = one
         if any(one.is_gone or one.endpoint.is_draining for one in updates):
-            return self._take(now)
-        return self.take_due(now)
+            return self._pop_all(now)
+        return self.pop_due(now)
 
-    def take_due(self, now: float) -> list[EndpointNews]:
-        """Take all pending updates if the next message is due."""
-        return self._take(now) if self._pending and now >= self._due_at else []
+    def pop_due(self, now: float) -> list[EndpointUpdate]:
+        """Remove and return all pending updates if the next message is due."""
+        return self._pop_all(now) if self._pending and now >= self._due_at else []
 
-    def _take(self, now: float) -> list[EndpointNews]:
-        taken = list(self._pending.values())
+    def _pop_all(self, now: float) -> list[EndpointUpdate]:
+        popped = list(self._pending.values())
         self._pending.clear()
         self._due_at = now + BATCH_INTERVAL_S
-        return taken
+        return popped
--- a/src/scalebend/core/owner.py
+++ b/src/scalebend/core/owner.py
@@ -16,7 +16,7 @@
     SIZE_CLASSES,
     FirstCome,
     Policy,
-    Waiting,
+    QueuedWork,
     WorkQueue,
     compute_size_class,
 )
@@ -56,7 +56,7 @@
 """Share of a replica's memory that long prompts may not use."""
 
 PREFILL_WINDOW_S = 0.2
-"""Prefill work, in engine time, that may be granted before the engine finishes it."""
+"""Unfinished prefill work, in engine time, from which on no more is granted."""
 
 OVERDUE_FACTOR = 1.5
 """Multiple of its duration on an idle engine after which a prefill is overdue."""
@@ -149,9 +149,9 @@
             self._clear_reservations()
         elif announcement.incarnation < self._incarnation:
             return []
-        if announcement.state is UpstreamState.LEAVING and not self.is_draining:
+        if announcement.state is UpstreamState.DRAINING and not self.is_draining:
             self.is_draining = True
-            actions += self._refuse_all(RefusalReason.LEAVING)
+            actions += self._refuse_all(RefusalReason.DRAINING)
         elif announcement.state is UpstreamState.SERVING:
             self.is_draining = False
         self._record_unclaimed(announcement.running, now)
@@ -168,7 +168,7 @@
         actions = self._refuse_expired(now)
         self._expire_leases(now)
         self._cancel_unclaimed(now)
-        for attempt in self.ledger.take_due_cancellations(now):
+        for attempt in self.ledger.reschedule_due_cancellations(now):
             actions.append(CancelOnEngine(self.view.upstream, attempt))
         return actions + self._start_waiting(now)
 
@@ -221,10 +221,10 @@
             # Its cancellation is unconfirmed: the engine would refuse to start it.
             return RefusalReason.NOT_OWNER
         if self.is_draining:
-            return RefusalReason.LEAVING
+            return RefusalReason.DRAINING
         if work.memory_tokens > self.ledger.capacity:
             return RefusalReason.TOO_LARGE
-        if self._estimate_wait(work) > work.patience:
+        if self._estimate_wait(work) > work.timeout_s:
             return RefusalReason.TOO_LATE
         return None
 
@@ -237,14 +237,14 @@
         return ToEntry(work.entry, refusal)
 
     def _refuse_all(self, reason: RefusalReason) -> list[OwnerAction]:
-        refused = self.queue.list_waiting()
+        refused = self.queue.list_queued()
         return [self._refuse_waiting(waiting, reason) for waiting in refused]
 
     def _refuse_expired(self, now: float) -> list[OwnerAction]:
-        expired = [item for item in self.queue.list_waiting() if item.is_expired(now)]
+        expired = [item for item in self.queue.list_queued() if item.is_expired(now)]
         return [self._refuse_waiting(item, RefusalReason.TOO_LATE) for item in expired]
 
-    def _refuse_waiting(self, waiting: Waiting, reason: RefusalReason) -> ToEntry:
+    def _refuse_waiting(self, waiting: QueuedWork, reason: RefusalReason) -> ToEntry:
         self.queue.remove(waiting.work.attempt)
         return self._refuse(waiting.work, reason)
 
@@ -257,7 +257,7 @@
             actions.append(self._grant(waiting.work, now))
         return actions
 
-    def _find_next(self, now: float) -> Waiting | None:
+    def _find_next(self, now: float) -> QueuedWork | None:
         if not len(self.queue) or len(self._reservations) >= self.view.concurrency:
             return None
         is_memory_reserved = False
@@ -279,7 +279,7 @@
                 if is_over_share
                 else blocked_class
             )
-            if size_class <= blocked and not head.work.held_elsewhere:
+            if size_class <= blocked and not head.work.is_reserved_elsewhere:
                 continue
             if not self._fits_window(head.work, now):
                 blocked_class_over_share = max(blocked_class_over_share, size_class)
@@ -294,14 +294,14 @@
                 is_memory_reserved = True
         return None
 
-    def _compute_usage(self, head: Waiting, now: float) -> float:
+    def _compute_usage(self, head: QueuedWork, now: float) -> float:
         return self._shares.compute_normalized(head.work.customer, now)
 
-    def _compute_mean_usage(self, heads: list[Waiting], now: float) -> float:
+    def _compute_mean_usage(self, heads: list[QueuedWork], now: float) -> float:
         usages = {head.work.customer: self._compute_usage(head, now) for head in heads}
         return sum(usages.values()) / len(usages)
 
-    def _has_waited_too_long(self, head: Waiting, now: float) -> bool:
+    def _has_waited_too_long(self, head: QueuedWork, now: float) -> bool:
         own = head.work.prefill_tokens / self.view.prefill_rate
         return now - head.arrived >= PREFILL_WINDOW_S + own
 
@@ -317,7 +317,7 @@
         return work.memory_tokens <= free
 
     def _fits_window(self, work: Work, now: float) -> bool:
-        if work.held_elsewhere:
+        if work.is_reserved_elsewhere:
             return True
         size_class = compute_size_class(work.prefill_tokens)
         if now < max(self._paced_until[: size_class + 1]):
--- a/src/scalebend/core/send_budget.py
+++ b/src/scalebend/core/send_budget.py
@@ -20,20 +20,20 @@
 
 import msgspec
 
-from scalebend.core.request_limits import RequestLimits
+from scalebend.core.rate_limits import RateLimits
 from scalebend.models.ids import UpstreamId
 
 BURST_S = 0.25
-"""Burst after an idle time, in seconds at the limit, and one request at least: requests
-arrive at random, so evenly spaced permits would often go unused."""
+"""Burst after an idle time: the requests allowed in this time, but at least one. Since
+requests arrive at random, evenly spaced permits would often go unused."""
 
-PERMIT_LIFE_S = 1.0
-"""Least time for which an uncoordinated send permit is valid; at low rates it is the
+PERMIT_LIFETIME_S = 1.0
+"""Minimum time for which an uncoordinated send permit is valid; at low rates it is the
 interval of the limit. Permits that never expired could be used by many fronts at once.
 """
 
 MIN_RATE_PER_S = 1.0 / 30.0
-"""Least rate, even for an upstream that takes less or nothing: only a response shows
+"""Minimum rate, even for an upstream that takes less or nothing: only a response shows
 that its limit has ended."""
 
 
@@ -118,7 +118,7 @@
 class SendBudget:
     """Send permits for rate-limited upstreams, within one share of their limits."""
 
-    def __init__(self, limits: RequestLimits, share: Share) -> None:
+    def __init__(self, limits: RateLimits, share: Share) -> None:
         self._limits = limits
         self._share = share
         self._pacers: dict[UpstreamId, _Pacer] = {}
@@ -221,7 +221,7 @@
             burst = max(BURST_S, interval)
             return _Spacing(interval, burst, now + burst + interval)
         case UncoordinatedShare(fronts, number, since):
-            life = max(PERMIT_LIFE_S, 1.0 / rate)
+            life = max(PERMIT_LIFETIME_S, 1.0 / rate)
             position = (number + zlib.crc32(upstream.encode())) % fronts
             return _ExpiringPermits(since + (position + 1) / rate, fronts / rate, life)
 
--- a/src/scalebend/edges/gateway/front_runtime.py
+++ b/src/scalebend/edges/gateway/front_runtime.py
@@ -25,18 +25,18 @@
     SendPermitRequest,
 )
 from scalebend.core.gateway.placement_aging import (
-    REPLAN_PERIOD_S,
+    REPLAN_INTERVAL_S,
     age_placement,
     age_work,
 )
 from scalebend.core.gateway.placement_repair import drop_replicas
 from scalebend.edges.gateway.leader_calls import LeaderCalls
-from scalebend.edges.gateway.links import HEARTBEAT, Dialer
+from scalebend.edges.gateway.links import HEARTBEAT_INTERVAL_S, Dialer
 from scalebend.edges.gateway.metrics import GatewayMetrics
 from scalebend.edges.gateway.running_attempts import RunningAttempts
-from scalebend.models.calls import LoadReading
+from scalebend.models.calls import ReportedLoad
 from scalebend.models.gateway_settings import GatewaySettings
-from scalebend.models.ids import Fingerprint, InstanceId, SendId, UpstreamId
+from scalebend.models.ids import Fingerprint, InstanceId, SendPermitId, UpstreamId
 from scalebend.models.placement import (
     Decision,
     Declined,
@@ -46,7 +46,7 @@
     Placement,
     build_job_id,
 )
-from scalebend.models.request_limits import HeardLimit
+from scalebend.models.rate_limits import ObservedLimit
 
 if TYPE_CHECKING:
     from scalebend.edges.gateway.inspection import Inspector
@@ -133,21 +133,21 @@
 
     def _tick(self) -> None:
         now = self.now()
-        self._dialer.keep_to(self.instance.instances)
+        self._dialer.set_targets(self.instance.instances)
         self._execute(self.instance.advance(now))
-        self.metrics.set_limited(self.instance.limits.count_limited())
-        self._dialer.close_silent(now)
+        self.metrics.set_rate_limited_upstreams(self.instance.limits.count_limited())
+        self._dialer.close_unresponsive(now)
         if now >= self._heartbeat_at:
-            self._heartbeat_at = now + HEARTBEAT
+            self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
             self._dialer.send_to_all(Heartbeat())
 
     def _receive(self, sender: InstanceId, message: LinkMessage) -> None:
-        if self._leader_calls.take(message):
+        if self._leader_calls.receive(message):
             return
         leader = self.instance.leader
         self._execute(self.instance.handle(sender, message, self.now()))
         if self.instance.leader != leader:
-            self._leader_calls.note_leader_changed()
+            self._leader_calls.reset_backoff()
         if self.instance.may_admit(self.now()):
             self._first_lease.set()
 
@@ -227,16 +227,16 @@
 
         Meanwhile, ask the leader periodically for a new placement.
         """
-        while placement.start_in > REPLAN_PERIOD_S:
-            asked_at = self.now()
-            await asyncio.sleep(REPLAN_PERIOD_S)
-            renewed = age_work(work, REPLAN_PERIOD_S)
+        while placement.start_in > REPLAN_INTERVAL_S:
+            started_at = self.now()
+            await asyncio.sleep(REPLAN_INTERVAL_S)
+            renewed = age_work(work, REPLAN_INTERVAL_S)
             reply = await self._leader_calls.place(
                 self.instance.leader,
                 self.instance.exclude_in_backoff(renewed, self.now()),
-                may_pause=False,
+                may_back_off=False,
             )
-            waited = self.now() - asked_at
+            waited = self.now() - started_at
             work = age_work(work, waited)
             placed = None
             if reply is not None:
@@ -272,7 +272,7 @@
             self._execute(self.instance.replace_job(work.job, kept, self.now()))
         return kept
 
-    async def request_send(
+    async def request_send_permit(
         self, upstreams: list[UpstreamId], timeout_s: float
     ) -> SendPermitReply:
         """Ask the leader for a permit to send to one of some rate-limited upstreams.
@@ -280,8 +280,10 @@
         Without a reply, grant it from the share of this front and report the send.
         """
         self._sends += 1
-        request = SendPermitRequest(SendId(self._sends), upstreams, timeout_s)
-        reply = await self._leader_calls.request_send(self.instance.leader, request)
+        request = SendPermitRequest(SendPermitId(self._sends), upstreams, timeout_s)
+        reply = await self._leader_calls.request_send_permit(
+            self.instance.leader, request
+        )
         if reply is not None:
             return reply
         grant = self.instance.limits.grant(request, self.now())
@@ -289,7 +291,7 @@
             self._execute(self.instance.record_uncoordinated_send(grant.upstream))
         return grant
 
-    def record_first_token(self, job: JobId, load: LoadReading | None) -> None:
+    def record_first_token(self, job: JobId, load: ReportedLoad | None) -> None:
         """Record the first event of a job, and the load that the replica reported."""
         count = load.running + load.waiting if load is not None else None
         stage = JobStage(job, is_ended=False, load=count)
@@ -317,7 +319,7 @@
             return False
         return self._inspector.is_queueing(upstream, self.now())
 
-    def record_limit(self, observed: HeardLimit) -> None:
+    def record_limit(self, observed: ObservedLimit) -> None:
         """Record the rate limit, or its absence, that a response named."""
         self._execute(self.instance.record_limit(observed, self.now()))
 
@@ -341,15 +343,15 @@
             else:
                 self._unknown_headers.add(word)
                 logger.warning("unknown word", upstream=upstream, name=word)
-        self.metrics.count_unknown_word(word)
+        self.metrics.count_unknown_header(word)
 
     def record_backoff_refusal(self) -> None:
         """Count a request refused since all remaining upstreams are in backoff."""
-        self.metrics.count_backoff_refusal()
+        self.metrics.count_backoff_rejection()
 
     def record_limit_refusal(self) -> None:
         """Count a request refused since all upstreams are at their rate limits."""
-        self.metrics.count_limit_refusal()
+        self.metrics.count_rate_limit_rejection()
 
     def record_crash(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         """Record that an upstream crashed or was disconnected during a request."""
--- a/src/scalebend/edges/gateway/response_headers.py
+++ b/src/scalebend/edges/gateway/response_headers.py
@@ -1,19 +1,19 @@
-"""Applies what an upstream says about itself in the head of a response."""
+"""Applies the status that an upstream reports in the headers of a response."""
 
 from __future__ import annotations
 
 import structlog
 
 from scalebend.edges.gateway.front_runtime import FrontRuntime
-from scalebend.models.calls import AnswerHeaders, Call
+from scalebend.models.calls import Call, ResponseHeaders
 from scalebend.models.ids import UpstreamId
-from scalebend.models.request_limits import UNLIMITED, HeardLimit, RequestLimit
+from scalebend.models.rate_limits import UNLIMITED, ObservedLimit, RateLimit
 
 logger = structlog.get_logger(__name__)
 
 
 def apply_response_head(
-    runtime: FrontRuntime, call: Call, known: RequestLimit, headers: AnswerHeaders
+    runtime: FrontRuntime, call: Call, known: RateLimit, headers: ResponseHeaders
 ) -> None:
     """Apply the head of a response to ``call``.
 
@@ -22,7 +22,7 @@
     """
     if headers.request not in (None, call.headers.request):
         return
-    for name in headers.unknown_words:
+    for name in headers.unknown_headers:
         runtime.record_unknown_header(known.upstream, name)
     _record_limit(runtime, known, headers)
     _record_backoff(runtime, call, known.upstream, headers)
@@ -33,19 +33,19 @@
 
 
 def _record_limit(
-    runtime: FrontRuntime, known: RequestLimit, headers: AnswerHeaders
+    runtime: FrontRuntime, known: RateLimit, headers: ResponseHeaders
 ) -> None:
     """Record the rate limit; only a request that ran shows that there is none."""
-    if headers.request_limit is None:
+    if headers.rate_limit is None:
         return
-    if headers.has_not_run and headers.request_limit == UNLIMITED:
+    if headers.has_not_run and headers.rate_limit == UNLIMITED:
         return
-    observed = HeardLimit(known.upstream, headers.request_limit, known.revision)
+    observed = ObservedLimit(known.upstream, headers.rate_limit, known.revision)
     runtime.record_limit(observed)
 
 
 def _record_backoff(
-    runtime: FrontRuntime, call: Call, upstream: UpstreamId, headers: AnswerHeaders
+    runtime: FrontRuntime, call: Call, upstream: UpstreamId, headers: ResponseHeaders
 ) -> None:
     if headers.has_unreadable_backoff:
         logger.info(
--- a/src/scalebend/platform/routing.py
+++ b/src/scalebend/platform/routing.py
@@ -1,4 +1,4 @@
-"""The operator's configuration document, decoded into the project's own types."""
+"""Converts the operator's routing document to and from the project's types."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     timeout_ms: float
     target_latency_ms: float = 1000.0
     priority: int = 0
-    # Either one service, or several with weights.
+    # Either one service or a weighted split over several.
     service: str | None = None
     traffic_split: list[_Split] | None = None
     max_attempts: int = 1
@@ -83,7 +83,7 @@
 
 
 def decode_routing(data: bytes) -> Routing:
-    """Return the document in ``data``; raise when it cannot be read whole."""
+    """Return the routing in ``data``; raise :class:`DocumentError` if invalid."""
     try:
         document = _DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -92,8 +92,8 @@
     limits = document.limits
     return Routing(
         RoutingVersion(document.version),
-        tuple(_read_route(route) for route in document.routes),
-        tuple(_read_service(service) for service in document.services),
+        tuple(_convert_route(route) for route in document.routes),
+        tuple(_convert_service(service) for service in document.services),
         ListenerLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -109,12 +109,12 @@
 
 
 def encode_routing(routing: Routing) -> bytes:
-    """Return the document as an operator sends it; for stand-ins."""
+    """Return the document as an operator sends it; for test stand-ins."""
     limits = routing.limits
     document = _Document(
         version=routing.version,
-        routes=[_write_route(route) for route in routing.routes],
-        services=[_write_service(service) for service in routing.services],
+        routes=[_encode_route(route) for route in routing.routes],
+        services=[_encode_service(service) for service in routing.services],
         limits=_Limits(
             limits.header_bytes,
             limits.body_bytes,
@@ -129,7 +129,7 @@
     return msgspec.json.encode(document)
 
 
-def _write_route(route: Route) -> _Route:
+def _encode_route(route: Route) -> _Route:
     gap = route.event_gap
     return _Route(
         name=route.name,
@@ -140,31 +140,31 @@
         target_latency_ms=route.target_latency * 1000.0,
         priority=route.priority,
         traffic_split=[_Split(s.service, s.weight) for s in route.services],
-        max_attempts=route.attempts_most,
+        max_attempts=route.max_attempts,
         public=route.is_public,
         resumable=route.is_resumable,
         gap_aim_ms=gap * 1000.0 if gap is not None else None,
     )
 
 
-def _write_service(service: RoutedService) -> _Service:
+def _encode_service(service: RoutedService) -> _Service:
     profile = service.engine
     engine = None
     if profile is not None:
         engine = _Engine(
             profile.slots,
             profile.memory_tokens,
-            profile.steps_per_pass,
+            profile.decode_steps_per_batch_step,
             profile.step_ms,
             profile.per_sequence_ms,
             profile.context_ms_per_thousand,
-            profile.read_tokens_per_second,
-            profile.pairs_ms_per_million,
+            profile.prefill_tokens_per_second,
+            profile.attention_ms_per_million_pairs,
         )
-    return _Service(service.name, service.health_path, service.connections_most, engine)
+    return _Service(service.name, service.health_path, service.max_connections, engine)
 
 
-def _read_route(route: _Route) -> Route:
+def _convert_route(route: _Route) -> Route:
     split = route.traffic_split
     if split is not None:
         services = [WeightedService(ServiceName(s.service), s.weight) for s in split]
@@ -180,26 +180,26 @@
         target_latency=route.target_latency_ms / 1000.0,
         priority=route.priority,
         services=tuple(services),
-        attempts_most=route.max_attempts,
+        max_attempts=route.max_attempts,
         is_public=route.public,
         is_resumable=route.resumable,
         event_gap=gap / 1000.0 if gap is not None else None,
     )
 
 
-def _read_service(service: _Service) -> RoutedService:
+def _convert_service(service: _Service) -> RoutedService:
     engine = service.engine
     profile = None
     if engine is not None:
         profile = EngineProfile(
             slots=engine.slots,
             memory_tokens=engine.kv_capacity,
-            steps_per_pass=engine.stride,
+            decode_steps_per_batch_step=engine.stride,
             step_ms=engine.step_ms,
             per_sequence_ms=engine.per_seq_ms,
             context_ms_per_thousand=engine.context_per_k,
-            read_tokens_per_second=engine.read_per_s,
-            pairs_ms_per_million=engine.pairs_per_m,
+            prefill_tokens_per_second=engine.read_per_s,
+            attention_ms_per_million_pairs=engine.pairs_per_m,
         )
     return RoutedService(
         ServiceName(service.name), service.max_connections, service.health_path, profile
--- a/src/scalebend/platform/settings.py
+++ b/src/scalebend/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
     ip: str
     zone: str
     listen: _Listen
-    # The first port is for messages between processes, the last for metrics.
+    # The first port is for links between processes, the second for metrics.
     port_range: tuple[int, int]
-    # Control addresses; the port for messages is the same on every machine.
+    # Control addresses; the port for links is the same on every instance.
     seeds: list[str]
     bootstrap: bool = False
     tolerate: _Tolerate = msgspec.field(default_factory=_Tolerate)
@@ -56,13 +56,13 @@
 
 
 def encode_gateway_settings(settings: GatewaySettings) -> bytes:
-    """Return the file that the platform would write; for stand-ins.
+    """Return the file that the platform would write; for test stand-ins.
 
-    The link port is the same on every machine, as is the port of control calls.
+    All instances use the same link port and the same port for control calls.
     """
     link = parse_address(settings.link_address)
     control = settings.control_address
-    # Seeds are named by their addresses for calls, on the platform.
+    # The platform names seeds by their control addresses, not link addresses.
     control_port = parse_address(control or settings.seeds[0]).port
     bounds = settings.bounds
     written = _Settings(
@@ -82,7 +82,7 @@
             retry_ratio=bounds.retry_ratio,
             retry_window_s=bounds.retry_window,
             retry_slack=bounds.retry_slack,
-            hold_max_ms=bounds.hold_most * 1000.0,
+            hold_max_ms=bounds.max_reservation_s * 1000.0,
         ),
         data_dir=settings.data_folder,
         heartbeat_ms=settings.heartbeat_interval * 1000.0,
@@ -91,7 +91,7 @@
 
 
 def read_gateway_settings(path: Path) -> GatewaySettings:
-    """Return the settings in ``path``; raise :class:`DocumentError` on a fault."""
+    """Return the settings in ``path``; raise :class:`DocumentError` if invalid."""
     try:
         read = msgspec.json.decode(path.read_bytes(), type=_Settings)
     except (OSError, msgspec.MsgspecError) as error:
@@ -118,13 +118,13 @@
             retry_ratio=bounds.retry_ratio,
             retry_window=bounds.retry_window_s,
             retry_slack=bounds.retry_slack,
-            hold_most=bounds.hold_max_ms / 1000.0,
+            max_reservation_s=bounds.hold_max_ms / 1000.0,
         ),
         callers_address=read.listen.front,
         readiness_address=read.listen.ready,
         control_address=read.listen.control,
         metrics_port=read.port_range[1],
         data_folder=read.data_dir,
-        open_files_most=read.limits.max_fds,
+        max_open_files=read.limits.max_fds,
         memory_mib=read.limits.memory_mb,
     )
--- a/tests/unit/gateway/test_draining_in_responses.py
+++ b/tests/unit/gateway/test_draining_in_responses.py
@@ -4,8 +4,8 @@
 from aiohttp import web
 
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
-from scalebend.models.endpoints import EndpointNews, build_upstream_id
-from scalebend.platform.headers import build_answer_headers
+from scalebend.models.endpoints import EndpointUpdate, build_upstream_id
+from scalebend.platform.headers import build_response_headers
 from tests.lib.front import run_front, serve
 from tests.lib.gateway_builders import build_endpoint, build_quick, build_routing
 from tests.lib.gateway_group import build_deployment
@@ -47,10 +47,10 @@
     ready = build_endpoint(1, sequence=7)
     directory.register(ready, 0.0)
     late = msgspec.structs.replace(ready, sequence=5, is_draining=True)
-    assert directory.merge(EndpointNews(late, is_gone=False), 1.0) is not None
+    assert directory.merge(EndpointUpdate(late, is_gone=False), 1.0) is not None
     assert not directory.is_usable(ready.upstream)
     # Only once, and the newer sequence of the registration stays.
-    assert directory.merge(EndpointNews(late, is_gone=False), 2.0) is None
+    assert directory.merge(EndpointUpdate(late, is_gone=False), 2.0) is None
     assert directory.get(ready.upstream).sequence == 7
     again = msgspec.structs.replace(ready, sequence=9)
     directory.register(again, 3.0)
@@ -85,7 +85,7 @@
     async def respond(request):
         name = request.headers["X-Request-Id"]
         arrived.append(name)
-        headers = build_answer_headers(name, "s", is_draining=True)
+        headers = build_response_headers(name, "s", is_draining=True)
         return web.Response(headers=headers, body=b"done")
 
     async with run_front(build_routing()) as front, serve(respond) as address:
--- a/tests/unit/gateway/test_engine_scheduler.py
+++ b/tests/unit/gateway/test_engine_scheduler.py
@@ -13,7 +13,7 @@
     UNCOORDINATED_MAX_PART_S,
     EngineScheduler,
 )
-from scalebend.core.gateway.replica_load import UNKNOWN_JOBS_TTL_S
+from scalebend.core.gateway.replica_load import UNKNOWN_JOBS_LIFETIME_S
 from scalebend.models.ids import InstanceId
 from scalebend.models.placement import (
     Declined,
@@ -203,7 +203,7 @@
     work = build_work("long", 210_000)
     placement = place(old, work)
     new = EngineScheduler()
-    new.adopt(OpenJob(work, placement, is_writing=False, age=0.1), PROFILE, 0.1)
+    new.adopt(OpenJob(work, placement, is_decoding=False, age=0.1), PROFILE, 0.1)
     busy = {one.upstream for one in new.list_busy(0.1, 32)}
     assert busy == {placement.upstream, *(h.upstream for h in placement.helpers)}
 
@@ -234,7 +234,7 @@
     assert second.upstream != first.upstream
     scheduler.record_stage(JobStage("front-1-2", is_ended=True), 0.2)
     # The replica's count expires.
-    old = 0.1 + UNKNOWN_JOBS_TTL_S
+    old = 0.1 + UNKNOWN_JOBS_LIFETIME_S
     assert place(scheduler, build_quick(3), old - 0.1).upstream != first.upstream
     assert place(scheduler, build_quick(4), old).upstream == first.upstream
 
@@ -291,7 +291,7 @@
 def test_uncoordinated_fronts_do_not_overfill_idle_replicas():
     leader, fronts = build_loaded_leader()
     busy = leader.list_busy(0.0, len(FLEET))
-    load = Counter({one.upstream: one.writing for one in busy})
+    load = Counter({one.upstream: one.decoding for one in busy})
     # One request per front.
     for number, front in enumerate(fronts):
         load[place(front, build_quick(f"a{number}"), 0.1, FLEET).upstream] += 1
--- a/tests/unit/gateway/test_platform.py
+++ b/tests/unit/gateway/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: what the platform writes, in the project's own types."""
+"""The platform adapter decodes the platform's formats into the project's types."""
 
 import json
 
@@ -15,13 +15,13 @@
     UpstreamId,
 )
 from scalebend.models.placement import ReplicaReport
-from scalebend.models.request_limits import UNLIMITED
+from scalebend.models.rate_limits import UNLIMITED
 from scalebend.models.routing import RouteKind
 from scalebend.platform.headers import (
     build_upstream_headers,
-    copy_answer_headers,
-    read_answer_headers,
+    copy_response_headers,
     read_caller_headers,
+    read_response_headers,
 )
 from scalebend.platform.orders import (
     MemoryOrder,
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "{}", '{"NodeName": 1}'])
-def test_unreadable_settings_are_refused(tmp_path, text):
+def test_invalid_settings_are_rejected(tmp_path, text):
     path = tmp_path / "node.json"
     path.write_text(text)
     with pytest.raises(DocumentError) as caught:
@@ -82,21 +82,21 @@
     assert routing.version == 4
     assert [route.kind for route in routing.routes] == list(RouteKind)
     assert routing.routes[2].event_gap == 0.2
-    assert routing.routes[2].may_repeat
-    assert not routing.routes[1].may_repeat
+    assert routing.routes[2].is_idempotent
+    assert not routing.routes[1].is_idempotent
     assert routing.customers[0].keys == ("key-1",)
     assert routing.limits.body_bytes == 65_536
     assert routing.needs_key
 
 
-def test_document_cut_short_is_refused():
+def test_truncated_document_is_rejected():
     document = build_document(4, ["a"])
     for end in (0, 1, 100, len(document) - 1):
         with pytest.raises(DocumentError):
             decode_routing(document[:end])
 
 
-def test_document_without_keys_needs_none():
+def test_document_without_customers_needs_no_key():
     document = json.loads(build_document(1, ["a"]))
     del document["Tenants"]
     assert not decode_routing(json.dumps(document).encode()).needs_key
@@ -128,11 +128,11 @@
     assert read.wait == 2.5
     assert read.key == "k"
     assert read.last_event == 12
-    assert (read.prompt.prompt, read.prompt.output_most) == (1460, 80)
-    assert read.prompt.output_expected == 80
+    assert (read.prompt.prompt, read.prompt.max_output_tokens) == (1460, 80)
+    assert read.prompt.expected_output_tokens == 80
 
 
-def test_malformed_numbers_count_as_not_given():
+def test_malformed_numbers_count_as_absent():
     read = read_caller_headers(
         CIMultiDict({"X-Deadline-Ms": "soon", "X-Token-Counts": "1,", "Host": "h"})
     )
@@ -178,25 +178,27 @@
     assert sent["X-Expect-Instance"] == "i-1"
 
 
-def test_answer_headers():
-    read = read_answer_headers(503, {"X-Not-Executed": "1", "At-Server": "10.0.0.1:1"})
+def test_response_headers():
+    read = read_response_headers(
+        503, {"X-Not-Executed": "1", "At-Server": "10.0.0.1:1"}
+    )
     assert read.has_not_run
     assert read.faulty_address == "10.0.0.1:1"
-    assert read_answer_headers(421, {}).has_not_run
-    assert not read_answer_headers(500, {"X-Server-Load": "1,2"}).has_not_run
-    load = read_answer_headers(200, {"X-Server-Load": "3,0,8"}).load
+    assert read_response_headers(421, {}).has_not_run
+    assert not read_response_headers(500, {"X-Server-Load": "1,2"}).has_not_run
+    load = read_response_headers(200, {"X-Server-Load": "3,0,8"}).load
     assert (load.running, load.waiting, load.slots) == (3, 0, 8)
-    assert read_answer_headers(200, {"Server-Limit": "1.25"}).request_limit == 1.25
-    assert read_answer_headers(503, {"Server-Limit": "0"}).request_limit == 0.0
-    assert read_answer_headers(200, {}).request_limit == UNLIMITED
-    # Another upstream answered at this address.
-    assert read_answer_headers(421, {"Server-Limit": "3"}).request_limit is None
-    assert not read_answer_headers(421, {"Server-Leaving": "1"}).is_draining
-    assert read_answer_headers(200, {"Server-Leaving": "1"}).is_draining
-    assert not read_answer_headers(200, {"Server-Leaving": "0"}).is_draining
-    assert read_answer_headers(503, {"Retry-After": "2.5"}).backoff == 2.5
-    assert read_answer_headers(200, {"Retry-After": "2.5"}).backoff is None
-    kept = copy_answer_headers(
+    assert read_response_headers(200, {"Server-Limit": "1.25"}).rate_limit == 1.25
+    assert read_response_headers(503, {"Server-Limit": "0"}).rate_limit == 0.0
+    assert read_response_headers(200, {}).rate_limit == UNLIMITED
+    # 421: the response is from another upstream at this address.
+    assert read_response_headers(421, {"Server-Limit": "3"}).rate_limit is None
+    assert not read_response_headers(421, {"Server-Leaving": "1"}).is_draining
+    assert read_response_headers(200, {"Server-Leaving": "1"}).is_draining
+    assert not read_response_headers(200, {"Server-Leaving": "0"}).is_draining
+    assert read_response_headers(503, {"Retry-After": "2.5"}).backoff == 2.5
+    assert read_response_headers(200, {"Retry-After": "2.5"}).backoff is None
+    kept = copy_response_headers(
         CIMultiDictProxy(CIMultiDict({"Connection": "close", "X-Server-Seal": "s"}))
     )
     assert dict(kept) == {"X-Server-Seal": "s"}
@@ -216,7 +218,7 @@
     assert decode_report(b"[]") is None
 
 
-def test_what_stand_ins_write_is_read_back_alike(tmp_path):
+def test_encoded_messages_decode_to_the_same_values(tmp_path):
     settings = build_settings()
     path = tmp_path / "node.json"
     path.write_bytes(encode_gateway_settings(settings))
--- a/tests/unit/gateway/test_update_batch.py
+++ b/tests/unit/gateway/test_update_batch.py
@@ -9,7 +9,7 @@
 from scalebend.core.gateway.endpoint_directory import EndpointDirectory
 from scalebend.core.gateway.messages import EndpointChanges
 from scalebend.core.gateway.update_batch import BATCH_INTERVAL_S, UpdateBatch
-from scalebend.models.endpoints import EndpointNews
+from scalebend.models.endpoints import EndpointUpdate
 from tests.lib.gateway_builders import SERVICE, build_endpoint
 from tests.unit.gateway.test_control_instance import FRONT, SingleMemberGroup
 
@@ -21,7 +21,7 @@
 
 
 def build_news(number, **changes):
-    return EndpointNews(build_endpoint(number, **changes), is_gone=False)
+    return EndpointUpdate(build_endpoint(number, **changes), is_gone=False)
 
 
 def test_fronts_get_few_messages_when_a_fleet_starts():
@@ -54,7 +54,7 @@
     batch = UpdateBatch()
     assert batch.add([build_news(1)], 0.0) == [build_news(1)]
     assert batch.add([build_news(2)], BATCH_INTERVAL_S) == [build_news(2)]
-    assert batch.take_due(9.0) == []
+    assert batch.pop_due(9.0) == []
 
 
 def test_draining_or_gone_upstream_flushes_the_batch():
@@ -63,7 +63,7 @@
     assert batch.add([build_news(2)], 0.01) == []
     is_draining = build_news(3, is_draining=True)
     assert batch.add([is_draining], 0.02) == [build_news(2), is_draining]
-    gone = EndpointNews(build_endpoint(1), is_gone=True)
+    gone = EndpointUpdate(build_endpoint(1), is_gone=True)
     assert batch.add([gone], 0.03) == [gone]
 
 
@@ -87,11 +87,11 @@
         expected.merge(one, now)
         sent = batch.add([one], now)
         if is_polled:
-            sent += batch.take_due(now)
+            sent += batch.pop_due(now)
         for news in sent:
             receiver.merge(news, now)
         if is_draining:
             assert sent[-1:] == [one]
-    for news in batch.take_due(now + BATCH_INTERVAL_S):
+    for news in batch.pop_due(now + BATCH_INTERVAL_S):
         receiver.merge(news, now)
     assert list_ids(receiver) == list_ids(expected)
--- a/tests/unit/test_instance.py
+++ b/tests/unit/test_instance.py
@@ -14,7 +14,7 @@
 def finish_all_ready(instance, now, wall):
     entries = []
     while True:
-        ready = instance.control.take_ready(now)
+        ready = instance.control.collect_ready(now)
         if ready.is_empty and not instance.control.has_outgoing:
             return entries
         entries += ready.committed
@@ -76,7 +76,7 @@
         is ErrorKind.ENDS_UPSTREAMS
     )
     # A later success clears the record at all instances.
-    second.entry.crashes.record_response(request, 1.0)
+    second.entry.crashes.record_completed(request, 1.0)
     send_rumors(second, first)
     assert first.entry.crashes.find_quarantine(request, 1.0) is None
 
--- a/tests/unit/test_streams.py
+++ b/tests/unit/test_streams.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 
 from scalebend.core.streams import Chunk, StreamAssembler
-from scalebend.edges.sse import EventFramer, GarbledStreamError, read_usage
+from scalebend.edges.sse import EventFramer, InvalidStreamError, read_usage
 
 
 def build_events(count):
@@ -26,7 +26,7 @@
     assert delivered == [b"%d" % n for n in range(len(delivered))]
     seen = set(order)
     whole = all(n in seen for n in range(12)) and end_at < len(order)
-    assert assembler.is_whole == whole
+    assert assembler.is_complete == whole
 
 
 @given(
@@ -54,7 +54,7 @@
             read_count += 1
         framer.restart()
     assert output == b"".join(events)
-    assert framer.is_whole
+    assert framer.is_complete
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
 )
 def test_data_that_is_no_event_stream_is_rejected(data):
     framer = EventFramer()
-    with pytest.raises(GarbledStreamError):
+    with pytest.raises(InvalidStreamError):
         framer.feed(data)
         framer.feed(b"\n\n")
 
